--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -1,4 +1,8 @@
-"""The types between a gateway and its decisions: settings, events and actions. All times are seconds."""
+"""Interface between the sockets of a gateway and its decision module, `embersill.control`.
+
+The sockets pass events to the decision module, which returns actions for them to carry out. Both use the
+settings defined here. All moments and durations are in seconds; moments are by the gateway's own clock.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """Result of an attempt, a probe or a counter call."""
 
     SERVED = "served"
     ERROR = "error"
@@ -23,12 +27,16 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where this outcome proves that the backend did not run the attempt."""
+        """True if this outcome proves that the backend did not run the attempt."""
         return self in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
 
 class Repeats(Enum):
-    """What a class allows once an attempt may have run."""
+    """Whether a request of a class may be repeated after an attempt that may have run.
+
+    SAFE requests may always be repeated, BY_KEY requests only within the group of backends that deduplicates
+    them, and ONCE requests never.
+    """
 
     SAFE = "safe"
     BY_KEY = "by key"
@@ -36,7 +44,7 @@
 
 
 class Scope(Enum):
-    """Which backends drop a repeat of a keyed request."""
+    """Group of backends that deduplicate the repeats of a keyed request among themselves."""
 
     ALL = "all"
     ZONE = "zone"
@@ -44,6 +52,12 @@
 
 
 class ListKind(Enum):
+    """Kind of a backend list.
+
+    CHANGES has only the entries that changed. WHOLE has all of them, REMEMBERED all that an earlier process
+    stored. FAILED reports that no list could be fetched.
+    """
+
     CHANGES = "changes"
     WHOLE = "whole"
     REMEMBERED = "remembered"
@@ -51,6 +65,8 @@
 
 
 class Status(Enum):
+    """State of a backend according to discovery."""
+
     SERVING = "serving"
     DRAINING = "draining"
     GONE = "gone"
@@ -58,6 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Rules that all requests of one class share.
+
+    memory: seconds for which backends remember the key of a request; 0 where they deduplicate nothing
+    aim: latency target in seconds, no longer than the deadline
+    deadline: seconds from its arrival after which a request needs no answer
+    late_share: fraction of its worth that an answer keeps between the aim and the deadline
+    worth: value of an answer within the aim
+    stream: whether answers are streamed to the client
+    """
+
     name: str
     repeats: Repeats
     scope: Scope
@@ -71,6 +97,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """Quota of the customers on this plan. Each limit is for one customer at all gateways together.
+
+    rate: units per second that the quota allows; 0 for no quota
+    burst: units that may be saved up
+    concurrency: requests in flight; 0 for no limit
+    ceiling_rate: units per second of the ceiling, which must never be exceeded; 0 for no ceiling
+    ceiling_depth: units that the ceiling allows at once
+    worth_factor: factor on the worth of an answer
+    beyond_worth, beyond_cost: value and cost of an answer beyond the quota, as multiples of its worth
+    """
+
     name: str
     rate: float
     burst: float
@@ -84,28 +121,50 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """How connections to backends are kept: docs/pools.md tells what each part was measured to bring."""
+    """Configuration of the connection pools; docs/pools.md has the measured effect of each setting."""
 
-    margin: float = 1.0  # seconds before the backends' idle limit at which a connection is closed here
-    max_age: float = 0.0  # seconds, from which a connection is closed at its next end of use; 0: never
-    opening: int = 64  # opens under way at once
-    opening_each: int = 8  # to one backend
-    sized: bool = False  # the module says how many idle ones are kept
-    warm: bool = False  # one is opened ahead at a backend that begins to serve
-    learned: bool = True  # what a backend accepts is learned from failed opens
+    margin: float = 1.0  # seconds before the backends' idle limit at which an idle connection is closed
+    max_age: float = 0.0  # seconds after which a connection is closed once it is free; 0: never
+    opening: int = 64  # connections being opened at once
+    opening_each: int = 8  # connections being opened at once to one backend
+    sized: bool = False  # the decision module sets the number of idle connections
+    warm: bool = False  # one connection is opened in advance to a backend that starts to serve
+    learned: bool = True  # a backend's connection limit is learned from failed connects
 
 
 @dataclass(frozen=True, slots=True)
 class AggregationSettings:
-    """How a gateway's counter calls are bounded, and where its aggregators are listed."""
+    """Limit on the counter calls of a gateway, and the list service of its aggregators."""
 
-    directory: str = ""  # addresses of the aggregators' list service; none: calls go to the counter
-    calls_per_second: float = 40.0  # counter calls that the gateway may make, whatever it serves
-    burst: float = 80.0  # calls that may be saved up while fewer are made
+    directory: str = ""  # addresses of the aggregators' list service; empty: calls go to the counter
+    calls_per_second: float = 40.0  # counter calls per second, independent of the traffic
+    burst: float = 80.0  # counter calls that may be saved up
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """Configuration of one gateway, as read by `embersill.settings`.
+
+    me: index of this gateway among all `gateways`, from 0
+    list_pushed: discovery sends changes of the list by itself
+    ask_every: seconds between two requests for the list
+    counter: there is a counter service
+    counter_patience: seconds until a counter call times out
+    counter_price: cost of one counter call
+    may_cancel, may_probe: backends allow an attempt to be cancelled, allow probes
+    second_copies: a request may have several attempts in flight
+    max_attempts: attempts of one request
+    max_retry_after: longest Retry-After in seconds that clients honour; 0: any
+    cold_from: fraction of its capacity that a backend has at its start
+    warm_within: seconds from its start in which a backend reaches its full capacity
+    fall_multiple: multiple of its present capacity at which a cold backend fails
+    overload_for: seconds of such a load after which it fails
+    report_fields: names of the load figures that backends report
+    most_units: units of the largest request
+    settles: units are corrected to the actual amount once it is known
+    aggregation: limit on counter calls; None: no limit
+    """
+
     me: int
     gateways: int
     classes: tuple[RequestClass, ...]
@@ -134,6 +193,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
+    """Entry of the backend list.
+
+    kind: machine type
+    rating: capacity relative to the other backends
+    started: when the process of the backend started; None if unknown
+    """
+
     address: str
     zone: str
     kind: str
@@ -145,7 +211,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try that has arrived; the gateway owes it one final answer."""
+    """A request has arrived; the gateway must send exactly one final answer.
+
+    deadline: moment after which the client needs no answer
+    width: number of gateways that serve this customer; 0: all
+    first_gateway: index of the first of these gateways
+    repeat: the client has sent this request before
+    uploading: its body is still being received; Uploaded reports its end
+    """
 
     id: int
     klass: str
@@ -156,28 +229,46 @@
     width: int
     first_gateway: int
     repeat: bool
-    uploading: bool = False  # its body is still coming; Uploaded tells when it has come
+    uploading: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class BackendList:
+    """A backend list was received, or could not be fetched; see ListKind for what `backends` then has."""
+
     kind: ListKind
     backends: tuple[Backend, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
+    """The client of a request has disconnected: the request needs no answer."""
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamBegun:
+    """The backend has started its answer to this attempt, which is streamed to the client from now on.
+
+    No other attempt may answer the request after that.
+    """
+
     request: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has ended.
+
+    elapsed: seconds since it was sent
+    over: the request has its final answer, so none is due any more
+    true_units: units that the request actually took; 0 if unknown
+    load: load figures that the backend reported, in the order of Settings.report_fields
+    again: False if the body was not kept, so that the request can't be sent again
+    """
+
     request: int
     attempt: int
     backend: str
@@ -186,18 +277,27 @@
     over: bool
     true_units: float
     load: tuple[float, ...]
-    again: bool = True  # False where the body has gone by and can't be written another time
+    again: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Uploaded:
-    """The last byte of a request's body has come: its time, and its attempt's, run from now on."""
+    """The body of a request has been received completely.
+
+    The times of the request and of its attempts are measured from now on.
+    """
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Counted:
+    """A call of the counter service has ended.
+
+    elapsed: seconds since the call
+    total: total of the named number after the call; only for Outcome.SERVED
+    """
+
     name: str
     outcome: Outcome
     elapsed: float
@@ -206,6 +306,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Probed:
+    """A probe of a backend has ended.
+
+    elapsed: seconds since it was sent
+    load: load figures that the backend reported, in the order of Settings.report_fields
+    """
+
     backend: str
     outcome: Outcome
     elapsed: float
@@ -214,41 +320,51 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
+    """The timer that SetTimer started with this key has expired."""
+
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Suspend:
-    """Staff take a backend out: nothing is sent to it until Restore, whatever the list says."""
+    """An operator suspends a backend: nothing is sent to it until Restore, whatever its listed status."""
 
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
 class Restore:
+    """An operator ends the suspension of a backend."""
+
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
 class Inherit:
-    """What a process that ran before this one has left, or hands over while it ends its own requests."""
+    """State of the predecessor process: stored when it exited, or handed over while it finishes its requests.
+
+    `embersill.state_transfer` has its format.
+    """
 
     state: Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Alone:
-    """The process before has ended: nothing of it is out any more."""
+    """The predecessor process has exited: it has no requests in flight any more."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """The gateway has answered all it took and ends: what the counter was not told is to be told now."""
+    """The gateway has answered all requests and exits: unreported units must be sent to the counter now."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenFailed:
-    """A backend that was heard from just now took no further connection; so many to it are up."""
+    """A backend that answered a moment ago accepted no further connection.
+
+    up: number of open connections to it
+    """
 
     backend: str
     up: int
@@ -256,7 +372,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuned:
-    """Staff have changed how connections are kept, or how counter calls are bounded."""
+    """An operator has changed the settings of the connection pools or of the counter calls."""
 
     pool: PoolSettings
     aggregation: AggregationSettings | None = None
@@ -270,46 +386,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered from 0 in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered from 0 in the order in which they are sent.
+
+    timeout: seconds from now after which the attempt is given up
+    within: seconds from now by which it must be written completely, or not be sent at all. It limits the
+        repeat of a keyed request to the time for which backends remember its key.
+    """
 
     request: int
     backend: str
     timeout: float
-    within: float = inf  # seconds in which it must be written whole, or not at all: a repeat's window
+    within: float = inf
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away, and trying again does no harm."""
+    """Send the final answer that the request is rejected and may safely be sent again.
+
+    retry_after: seconds after which the client should send it again
+    reason: for logs and figures
+    """
 
     request: int
     retry_after: float
-    reason: str = field(default="", compare=False)  # for logs
+    reason: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise about its effect."""
+    """Send the final answer that the request failed and that it may have taken effect.
+
+    reason: for logs and figures
+    """
 
     request: int
-    reason: str = field(default="", compare=False)  # for logs
+    reason: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt that is in flight."""
+
     request: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Send TimerDue with this key after `delay` seconds."""
+
     delay: float
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a named number of the counter service and get its total."""
+    """Add `amount` to a named number of the counter service and fetch its total.
+
+    forget_after: seconds after which the counter may drop the number
+    """
 
     name: str
     amount: float
@@ -318,21 +453,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for the list and its changes from now on."""
+    """Request the backend list and all later changes of it from discovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class HangUp:
-    """Close what is idle to a backend, and what is still being opened."""
+    """Close the connections to a backend that are idle or still being opened."""
 
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many idle connections to a backend are kept, how many of all kinds there may be, and how long
+    """Set the limits of the connection pool of a backend.
 
-    one is kept idle, in seconds: never longer than the backends' idle limit allows.
+    keep: number of idle connections
+    most: number of connections: idle, in use and being opened
+    idle_for: seconds that a connection may be idle; the backends' own idle limit applies as well
     """
 
     backend: str
@@ -343,7 +480,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Warm:
-    """Open ahead, until so many connections to a backend are free."""
+    """Open connections to a backend in advance, until `many` are idle or being opened."""
 
     backend: str
     many: int
