--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -122,7 +122,7 @@
         counter=counter, console=read_address(console) if console else None,
         seed=int(told["seed"], 16), sockets=sockets,
         memory_mb=float(told["limits"].get("memory_mb", LEAST_MEMORY)),
-        known=read_listing(told["known"], ListKind.REMEMBERED), settings=settings,
+        known=read_listing(told["known"], ListKind.CACHED), settings=settings,
         limits=read_limits(told["settings"]), lame_duck=read_lame_duck(told),
         folder=environ.get("TMPDIR") or None, aggregators=read_aggregators(settings),
     )
@@ -205,7 +205,7 @@
 
     def make_counter(self, told: Configuration) -> CounterClient | None:
         """What makes the counter calls: over aggregators where these are configured."""
-        clock, patience, dial = self.driver.clock, told.settings.counter_patience, told.limits.dial_timeout
+        clock, patience, dial = self.driver.clock, told.settings.counter_timeout, told.limits.dial_timeout
         if told.counter is None:
             return None
         if not told.aggregators:
@@ -390,7 +390,7 @@
         self.aggregators = told.aggregators
         if was_routed != bool(told.aggregators):
             self.driver.counter = self.make_counter(told)
-            self.loop.call_later(told.settings.counter_patience, before.close)
+            self.loop.call_later(told.settings.counter_timeout, before.close)
         elif isinstance(before, Counter):
             before.move(told.counter)
         else:
--- a/embersill/adapter.py
+++ b/embersill/adapter.py
@@ -9,16 +9,18 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, Cancel, ClientLeft, Count, Counted, Event, Fail, ListKind,
-    Outcome, Probed, Refuse, Request, Send, SetTimer, Size, StreamBegun, Subscribe, TimerDue, Warm,
+    Action, AddToCounter, AttemptEnded, Backend, BackendList, Cancel, ClientDisconnected, CounterCallEnded,
+    Event, Fail, ListKind, Outcome, Preconnect, ProbeEnded, Refuse, Request, Send, SetPoolSize, SetTimer,
+    StreamStarted, Subscribe, TimerExpired,
 )
 from embersill.settings import STATUSES, read_settings
 
 OUTCOMES = {
-    "GOOD": Outcome.SERVED, "BAD": Outcome.ERROR, "FULL": Outcome.TURNED_AWAY, "LATE": Outcome.TIMED_OUT,
-    "NOCONN": Outcome.NO_CONNECTION, "RST": Outcome.BROKEN, "CXL": Outcome.CANCELLED, "NOP": Outcome.NOT_SENT,
+    "GOOD": Outcome.SERVED, "BAD": Outcome.ERROR, "FULL": Outcome.REJECTED, "LATE": Outcome.TIMED_OUT,
+    "NOCONN": Outcome.NO_CONNECTION, "RST": Outcome.CONNECTION_LOST, "CXL": Outcome.CANCELLED,
+    "NOP": Outcome.NOT_SENT,
 }
-KINDS = {"Partial": ListKind.CHANGES, "Complete": ListKind.WHOLE, "Persisted": ListKind.REMEMBERED,
+KINDS = {"Partial": ListKind.CHANGES, "Complete": ListKind.FULL, "Persisted": ListKind.CACHED,
          "Error": ListKind.FAILED}
 
 BACKEND_PARTS = 6  # of a backend line, up to its state: what comes after may be absent
@@ -56,22 +58,22 @@
     what = parts[0]
     if what == "job_in":
         return Request(
-            id=int(parts[1]), klass=parts[2], plan=value(parts, 3, ""), customer=value(parts, 4, ""),
+            id=int(parts[1]), request_class=parts[2], plan=value(parts, 3, ""), customer=value(parts, 4, ""),
             deadline=float(parts[5]) / 1000.0, units=float(value(parts, 6, "1")),
-            width=int(float(value(parts, 7, "0"))),
+            gateway_count=int(float(value(parts, 7, "0"))),
             first_gateway=int(float(value(parts, 8, "0"))), repeat=bool(int(value(parts, 9, "0")) & 2),
         )
     if what == "result":
         return AttemptEnded(
             request=int(parts[1]), attempt=int(parts[2]), backend=parts[3], outcome=pick(OUTCOMES, parts[4]),
-            elapsed=float(parts[5]) / 1000.0, over=value(parts, 6, "0") == "1",
-            true_units=float(value(parts, 8, "0")), load=read_load(parts, 9),
+            elapsed=float(parts[5]) / 1000.0, request_ended=value(parts, 6, "0") == "1",
+            actual_units=float(value(parts, 8, "0")), load=read_load(parts, 9),
         )
     if what == "deadline_hit":
-        return TimerDue(parts[1])
+        return TimerExpired(parts[1])
     if what == "counted":
         total = float(value(parts, 3, "0"))
-        return Counted(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
+        return CounterCallEnded(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
     if what == "discovery":
         kind = pick(KINDS, parts[2])
         if kind is ListKind.FAILED:
@@ -80,11 +82,11 @@
             raise Malformed("discovery names an unknown page")
         return BackendList(kind, lists[int(parts[1])])
     if what == "client_left":
-        return ClientLeft(int(parts[1]))
+        return ClientDisconnected(int(parts[1]))
     if what == "ack_first":
-        return StreamBegun(int(parts[1]), int(parts[2]))
+        return StreamStarted(int(parts[1]), int(parts[2]))
     if what == "probe_result":
-        return Probed(parts[1], pick(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
+        return ProbeEnded(parts[1], pick(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
     if what == "note_from":
         return None
     raise Malformed(f"unknown message {what!r}")
@@ -99,8 +101,8 @@
         return f"deny\t{action.request}\t{action.retry_after * 1000.0:.3f}"
     if isinstance(action, Fail):
         return f"report_failure\t{action.request}"
-    if isinstance(action, Count):
-        return f"incr\t{action.name}\t{action.amount:.6g}\t{action.forget_after * 1000.0:.3f}"
+    if isinstance(action, AddToCounter):
+        return f"incr\t{action.name}\t{action.amount:.6g}\t{action.expire_after * 1000.0:.3f}"
     if isinstance(action, Cancel):
         return f"recall\t{action.request}\t{action.attempt}"
     assert isinstance(action, Subscribe)
@@ -161,7 +163,8 @@
                     out.append(f"speaking\t{who}")
                     speaking = who
                 # of connections this wire knows nothing but what attempts do
-                out += [write_action(action) for action in actions if not isinstance(action, Size | Warm)]
+                out += [write_action(action) for action in actions
+                        if not isinstance(action, SetPoolSize | Preconnect)]
         return out
 
 
--- a/embersill/aggregator/resp.py
+++ b/embersill/aggregator/resp.py
@@ -18,7 +18,7 @@
 
 STATUSES = {
     Outcome.SERVED: ForwardStatus.ADDED,
-    Outcome.TURNED_AWAY: ForwardStatus.BUSY,
+    Outcome.REJECTED: ForwardStatus.BUSY,
     Outcome.ERROR: ForwardStatus.ERROR,
     Outcome.TIMED_OUT: ForwardStatus.UNKNOWN,
 }
--- a/embersill/call_budget.py
+++ b/embersill/call_budget.py
@@ -11,7 +11,7 @@
 from weakref import WeakKeyDictionary
 
 from embersill.control import Throttle
-from embersill.interface import AggregationSettings, Counted
+from embersill.interface import AggregationSettings, CounterCallEnded
 
 FAR, NEAR = 0.5, 0.8  # shares of a quota in use, below and from which its customer is far from it and near it
 FAR_RESERVE, RESERVE, UNTOLD_RESERVE = 0.5, 0.25, 0.125  # of the calls' burst, left to more urgent ones
@@ -111,7 +111,9 @@
         use = self.uses.get(throttle)
         return use is not None and now < use.trusted_until and self.may_wait(throttle, units, UNTOLD_PART)
 
-    def note(self, throttle: Throttle, event: Counted, corrected: float, spare: float, now: float) -> float:
+    def note(
+        self, throttle: Throttle, event: CounterCallEnded, corrected: float, spare: float, now: float
+    ) -> float:
         """Takes in a reading, which adds `corrected` for nothing sent; until when it can be trusted."""
         use, plan = self.uses.setdefault(throttle, CustomerUse()), throttle.plan
         use.total += corrected
--- a/embersill/control.py
+++ b/embersill/control.py
@@ -14,10 +14,11 @@
 
 from embersill.ceiling import CeilingLease, CeilingShare, even_share, share_ceiling
 from embersill.interface import (
-    Action, AggregationSettings, Alone, AttemptEnded, Backend, BackendList, Cancel, ClientLeft, Count,
-    Counted, Event, Fail, HangUp, Inherit, ListKind, OpenFailed, Outcome, Plan, PoolSettings, Refuse, Repeats,
-    Request, RequestClass, Restore, Scope, Send, SetTimer, Settings, Settle, Size, Status, StreamBegun,
-    Subscribe, Suspend, TimerDue, Tuned, Uploaded, Warm,
+    Action, AddToCounter, AggregationSettings, AttemptEnded, Backend, BackendList, BackendStatus, Cancel,
+    ClientDisconnected, CloseUnusedConnections, ConnectFailed, CounterCallEnded, DedupScope, Event, Fail,
+    FlushCounts, ListKind, Outcome, Plan, PoolSettings, Preconnect, PredecessorEnded, PredecessorState,
+    Refuse, RepeatPolicy, Request, RequestClass, Restore, Send, SetPoolSize, SetTimer, Settings,
+    SettingsChanged, StreamStarted, Subscribe, Suspend, TimerExpired, UploadCompleted,
 )
 from embersill.records import Attempt, Job
 from embersill.serving_set import ServingSet
@@ -203,7 +204,7 @@
     def __init__(self, backend: Backend, limit: float, now: float, place: int) -> None:
         self.backend, self.touched = backend, now
         self.place = place  # this gateway's among all there
-        self.started = backend.started  # or when staff put it back, if that was later
+        self.started = backend.started_at  # or when staff put it back, if that was later
         self.flight = self.overdue = 0  # attempts out, and those of them that are late already
         self.failed = now  # when it last did
         self.bad = 0.0  # what is held against it: doubles and one more for each failure, halves with time
@@ -241,7 +242,7 @@
         self.given_up: Counter[str] = Counter()  # requests this gateway ended itself, by reason
         self.servers: dict[str, Server] = {}
         self.serving = ServingSet(frozenset(
-            c.scope for c in settings.classes if c.repeats is Repeats.BY_KEY))
+            c.dedup_scope for c in settings.classes if c.repeat_policy is RepeatPolicy.BY_KEY))
         self.drawable: list[Server] = []  # those of them that this gateway uses, when they were last weighed
         self.weights: list[float] = []  # theirs, summed up
         self.weigh_at = now
@@ -308,7 +309,7 @@
         if self.handed:
             self.given_up["handed over"] += 1
             return self.actions.append(Refuse(request.id, self.advice(LEAST_ADVICE), "handed over"))
-        klass, plan = self.classes.get(request.klass), self.plans.get(request.plan)
+        klass, plan = self.classes.get(request.request_class), self.plans.get(request.plan)
         if klass is None or plan is None or request.deadline <= self.now:
             self.given_up["unknown or late"] += 1
             return self.actions.append(Refuse(request.id, self.advice(PERIOD), "unknown or late"))
@@ -324,11 +325,11 @@
             self.read_level(job)
         else:
             self.start_counting(throttle)
-        if job.counted < 0 and not job.trusted:
+        if job.reported_units < 0 and not job.admit_unchecked:
             return self.answer(job, PERIOD, "uncounted")
         free = not throttle.queue and throttle.has_open() and not throttle.asking
         covered = throttle.lease is None or throttle.under_ceiling(units, self.now)
-        if free and covered and (job.trusted or throttle.wait(units) <= 0):
+        if free and covered and (job.admit_unchecked or throttle.wait(units) <= 0):
             throttle.level -= units if plan.rate > 0 else 0.0
             self.tell_later(job)
             return self.place(job)
@@ -362,7 +363,7 @@
         while throttle.queue and not throttle.asking:
             job = throttle.queue[0]
             units = job.request.units
-            wait = 0.0 if job.trusted and throttle.lease is not None else throttle.wait(units)
+            wait = 0.0 if job.admit_unchecked and throttle.lease is not None else throttle.wait(units)
             leases = throttle.lease is not None and wait <= EPS and throttle.has_open()
             if leases and not throttle.under_ceiling(units, self.now):
                 wait = self.lease_wait(throttle)
@@ -407,7 +408,7 @@
             return min(lease.terms.life, throttle.part_wait(first))
         have = throttle.cap + lease.available(self.now)
         lease.ask(min(self.units_due(throttle) - have, lease.terms.units), self.now)
-        self.actions.append(Count(f"{throttle.customer}.{LEASE_NAME}", lease.asked, lease.terms.life))
+        self.actions.append(AddToCounter(f"{throttle.customer}.{LEASE_NAME}", lease.asked, lease.terms.life))
         return inf
 
     def units_due(self, throttle: Throttle) -> float:
@@ -420,7 +421,7 @@
             due += job.request.units
         return due
 
-    def lease_told(self, throttle: Throttle, event: Counted) -> None:
+    def lease_told(self, throttle: Throttle, event: CounterCallEnded) -> None:
         """The counter's word on a call for units of the ceiling."""
         lease = throttle.lease
         if lease is None or lease.asked <= 0:
@@ -440,7 +441,7 @@
                 del self.throttles[customer]
             else:
                 self.sweep.append(customer)
-        width = max(1, request.width or self.settings.gateways)
+        width = max(1, request.gateway_count or self.settings.gateways)
         throttle = self.new_throttle(request.customer, plan, width, request.first_gateway)
         self.throttles[request.customer] = throttle
         self.sweep.append(request.customer)
@@ -451,10 +452,10 @@
     ) -> Throttle:
         """`first_gateway`: of the customer's set; None where it is not known, as another process's heir."""
         told = self.settings
-        most = told.most_units if told.counter else 0.0
-        patience = told.counter_patience if told.counter else None
-        rank = width if first_gateway is None else (told.me - first_gateway) % told.gateways
-        ceiling = share_ceiling(plan, width, rank, told.most_units, patience)
+        most = told.max_units if told.counter else 0.0
+        patience = told.counter_timeout if told.counter else None
+        rank = width if first_gateway is None else (told.gateway_index - first_gateway) % told.gateways
+        ceiling = share_ceiling(plan, width, rank, told.max_units, patience)
         made = Throttle(customer, plan, width, self.now, self.born, most, ceiling)
         made.first_gateway = first_gateway
         return made
@@ -493,14 +494,14 @@
         if self.now >= self.quiet_until and needy and (asked <= 0 or self.may_call(throttle)):
             throttle.added = asked
             if asked > 0:
-                self.actions.append(Count(f"{throttle.customer}.{second}", asked, 4 * PERIOD))
-            wait = max(self.settings.counter_patience, EPS)
+                self.actions.append(AddToCounter(f"{throttle.customer}.{second}", asked, 4 * PERIOD))
+            wait = max(self.settings.counter_timeout, EPS)
             self.actions.append(SetTimer(wait, f"d{second} {throttle.customer}"))
         self.release(throttle)
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterCallEnded) -> None:
         throttle = self.throttles.get(event.name.rpartition(".")[0])
-        waited = event.elapsed >= PATIENT * self.settings.counter_patience
+        waited = event.elapsed >= PATIENT * self.settings.counter_timeout
         if event.outcome is Outcome.SERVED:
             self.count_fails = 0
             self.counted_part = min(1.0, self.counted_part * COUNT_MORE)
@@ -557,35 +558,36 @@
                 throttle.read_until = self.now
                 throttle.set_share(1.0 / throttle.width, self.now)
                 passes = not self.doubtful(throttle.plan, throttle.wait(units) <= 0)
-            job.trusted = passes and (self.budget is None or self.budget.may_wait(throttle, units))
-            job.counted = 0.0 if job.trusted and self.budget is not None else -1.0
+            job.admit_unchecked = passes and (self.budget is None or self.budget.may_wait(throttle, units))
+            job.reported_units = 0.0 if job.admit_unchecked and self.budget is not None else -1.0
             return
-        job.sure, job.counted = sure, units / self.counted_part if passes and not self.budget else units
+        job.covered_by_slice, job.reported_units = (
+            sure, units / self.counted_part if passes and not self.budget else units)
         throttle.asking = True
-        self.count_use(throttle, job.counted)
+        self.count_use(throttle, job.reported_units)
 
     def doubtful(self, plan: Plan, sure: bool) -> bool:
         """True where an uncounted request would more likely cost than earn, by those that were counted."""
         granted = self.granted[plan.name, sure]
-        return granted + (1.0 - granted) * (plan.beyond_worth - plan.beyond_cost) < 0
+        return granted + (1.0 - granted) * (plan.over_quota_worth - plan.over_quota_cost) < 0
 
     def count_use(self, throttle: Throttle, asked: float, right: float = 0.0) -> None:
         name = f"{throttle.customer}.{int(self.now // EPOCH)}"
         right = right or throttle.correction.get(name, 0.0)
         throttle.correction = {}
         throttle.calls.append((name, asked, throttle.uncounted + asked, right))
-        self.actions.append(Count(name, throttle.uncounted + asked + right, EPOCH))
+        self.actions.append(AddToCounter(name, throttle.uncounted + asked + right, EPOCH))
         throttle.uncounted = 0.0
 
     def tell_later(self, job: Job) -> None:
-        if job.throttle.thin and job.counted == 0:
-            job.counted = job.request.units
-            self.tell_soon(job.throttle, job.counted)
+        if job.throttle.thin and job.reported_units == 0:
+            job.reported_units = job.request.units
+            self.tell_soon(job.throttle, job.reported_units)
 
     def take_back(self, job: Job) -> None:
-        if job.throttle.thin and job.counted > 0:
-            self.tell_soon(job.throttle, -job.counted)
-            job.counted = 0.0
+        if job.throttle.thin and job.reported_units > 0:
+            self.tell_soon(job.throttle, -job.reported_units)
+            job.reported_units = 0.0
 
     def tell_soon(self, throttle: Throttle, units: float) -> None:
         throttle.uncounted += units
@@ -599,7 +601,7 @@
             if throttle.thin and throttle.uncounted and not self.handed:
                 self.count_use(throttle, 0.0)
 
-    def level_read(self, throttle: Throttle, event: Counted) -> None:
+    def level_read(self, throttle: Throttle, event: CounterCallEnded) -> None:
         """Sets the level by the units sent on since the name's start; keeps the sum near a burst of it."""
         call = next((c for c in throttle.calls if c[0] == event.name), None)
         if call is None:
@@ -618,8 +620,8 @@
             throttle.set_share(1.0, self.now)
             level = burst + spare + call[1]
             first = throttle.queue[0] if throttle.queue else None
-            if call[1] > 0 and first is not None and first.counted > 0:
-                key = (throttle.plan.name, first.sure)
+            if call[1] > 0 and first is not None and first.reported_units > 0:
+                key = (throttle.plan.name, first.covered_by_slice)
                 self.granted[key] += BLEND * ((level >= first.request.units) - self.granted[key])
             if level < 0 < call[2] - call[1]:  # sent on beyond the quota, which takes nothing from it
                 self.tell_soon(throttle, -min(call[2] - call[1], -level))
@@ -642,8 +644,8 @@
 
     def usual_for(self, job: Job) -> float:
         """Seconds such a request takes on the fleet."""
-        fallback = self.usual.get((job.klass.name, 0.0), job.klass.aim / 8)
-        return self.usual.get((job.klass.name, units_kind(job.request.units)), fallback)
+        fallback = self.usual.get((job.request_class.name, 0.0), job.request_class.aim / 8)
+        return self.usual.get((job.request_class.name, units_kind(job.request.units)), fallback)
 
     def place(self, job: Job) -> None:
         """Finds a backend for a request that has its credit, or turns it away."""
@@ -655,9 +657,10 @@
     def choose(self, job: Job) -> Server | None:
         """The better of two that are drawn; more replace the unfit, and those that failed unless all did."""
         pool, weighted = self.order, True
-        if job.risky is not None and job.klass.repeats is Repeats.BY_KEY:
+        if job.first_possibly_run is not None and job.request_class.repeat_policy is RepeatPolicy.BY_KEY:
             weighted = False
-            pool = self.serving.group(job.klass.scope, group_of(job.klass, job.risky.server))
+            pool = self.serving.group(
+                job.request_class.dedup_scope, group_of(job.request_class, job.first_possibly_run.server))
         best, least, found = None, 0.0, 0
         self.drawn = self.greeted(job)
         if self.drawn is not None:
@@ -668,7 +671,7 @@
             if cost >= 0 and (best is None or cost < least):
                 best, least = server, cost
             found += cost >= 0
-            if found >= CHOICES and least < SHUN * job.klass.aim:
+            if found >= CHOICES and least < SHUN * job.request_class.aim:
                 break
         if best is None or self.held_against(best) >= FAILING:
             best = self.pick_sound(job, pool) or self.find_fit(job, self.some_of(pool))
@@ -764,7 +767,7 @@
         return share * self.settings.gateways / places if server.place < places else 0.0
 
     def size(self, server: Server) -> float:
-        return self.sizes.get(server.backend.kind, 1.0)
+        return self.sizes.get(server.backend.machine_type, 1.0)
 
     def has_few_places(self, share: float) -> bool:
         return share < 1.0 and COLD_LIMIT * share < self.settings.gateways
@@ -787,12 +790,12 @@
     def cost(self, job: Job, server: Server) -> float:
         server.fade(self.now)
         again = sum(1 for a in job.attempts if a.server is server)
-        again += server.full.get((job.klass.name, job.throttle.plan.name), 0.0) > self.now
-        slow = self.kinds.get(server.backend.kind, 1.0) * (server.flight + 1.0) / self.size(server)
+        again += server.full.get((job.request_class.name, job.throttle.plan.name), 0.0) > self.now
+        slow = self.kinds.get(server.backend.machine_type, 1.0) * (server.flight + 1.0) / self.size(server)
         share = server.cold_share(self.now, self.settings)
         if not self.has_few_places(share):  # there the draw goes by what it can bear
             slow /= max(share, EPS)
-        return self.usual_for(job) * slow + (server.bad + server.overdue + again) * job.klass.aim
+        return self.usual_for(job) * slow + (server.bad + server.overdue + again) * job.request_class.aim
 
     def cold_room(self, server: Server) -> float:
         """How many may be out from here at a cold backend, by its share of what all may have out at one.
@@ -888,11 +891,12 @@
         The aim alone would take ordinary work of a large part of it for overload:
         docs/incidents/2026-12-heavy-classes.md
         """
-        least = LATE_AT * job.klass.aim
-        work = self.work_times.of(job.klass.name, units_kind(job.request.units), server.backend.kind)
+        least = LATE_AT * job.request_class.aim
+        work = self.work_times.of(
+            job.request_class.name, units_kind(job.request.units), server.backend.machine_type)
         if work is None:
             return least
-        return max(least, min(LATE_OVER_WORK * work, worth_until(job) - job.arrived))
+        return max(least, min(LATE_OVER_WORK * work, worth_until(job) - job.arrived_at))
 
     def give_up(self, job: Job, why: str) -> None:
         throttle = job.throttle
@@ -903,20 +907,21 @@
 
     def may_send(self, job: Job, server: Server) -> bool:
         """The rules for one more attempt, each checked here and nowhere else."""
-        settings, first = self.settings, job.risky
+        settings, first = self.settings, job.first_possibly_run
         if job.ended or job.streaming or self.now >= job.request.deadline:
             return False
         free = server.flight < min(server.limit, server.links)
         known = self.servers.get(server.backend.address) is server and free
-        if server.backend.status is not Status.SERVING or not known or server.backend.address in self.banned:
+        if (server.backend.status is not BackendStatus.SERVING or not known
+                or server.backend.address in self.banned):
             return False
-        if len(job.attempts) >= settings.max_attempts or (job.out and not settings.second_copies):
+        if len(job.attempts) >= settings.max_attempts or (job.attempts_in_flight and not settings.may_hedge):
             return False
-        if first is not None and job.klass.repeats is Repeats.ONCE:
+        if first is not None and job.request_class.repeat_policy is RepeatPolicy.ONCE:
             return False
-        if first is not None and job.klass.repeats is Repeats.BY_KEY:
-            apart = group_of(job.klass, first.server) != group_of(job.klass, server)
-            if apart or self.now - first.sent >= job.klass.memory:
+        if first is not None and job.request_class.repeat_policy is RepeatPolicy.BY_KEY:
+            apart = group_of(job.request_class, first.server) != group_of(job.request_class, server)
+            if apart or self.now - first.sent_at >= job.request_class.memory:
                 return False
         if server is not self.drawn and server.flight >= self.cold_room(server):
             return False
@@ -936,12 +941,12 @@
         server.flight += 1
         self.flight += 1
         job.throttle.open += 1
-        job.out += 1
+        job.attempts_in_flight += 1
         job.attempts.append(attempt)
         within = inf
-        if job.risky is not None and job.klass.repeats is Repeats.BY_KEY:
-            within = job.risky.sent + job.klass.memory - self.now
-        job.risky = job.risky or attempt
+        if job.first_possibly_run is not None and job.request_class.repeat_policy is RepeatPolicy.BY_KEY:
+            within = job.first_possibly_run.sent_at + job.request_class.memory - self.now
+        job.first_possibly_run = job.first_possibly_run or attempt
         useful = self.useful_until(job, attempt) - self.now
         self.actions.append(Send(job.request.id, server.backend.address, useful, within))
         if not job.uploading:
@@ -955,35 +960,35 @@
         """A backend begins once the body is whole: until then neither it nor the client's time is at work."""
         job = self.jobs.get(request)
         if job is not None and job.uploading:
-            job.uploading, job.arrived = False, self.now
+            job.uploading, job.arrived_at = False, self.now
             for number, attempt in enumerate(job.attempts):
-                if attempt.out:
-                    attempt.sent = self.now
+                if attempt.in_flight:
+                    attempt.sent_at = self.now
                     self.time_late(job, number)
 
-    def stream_begun(self, event: StreamBegun) -> None:
+    def stream_begun(self, event: StreamStarted) -> None:
         """The answer goes on to the client from now on: the backend has done its work, and no other may."""
         job = self.jobs.get(event.request)
-        if job is not None and event.attempt < len(job.attempts) and job.attempts[event.attempt].out:
+        if job is not None and event.attempt < len(job.attempts) and job.attempts[event.attempt].in_flight:
             attempt = job.attempts[event.attempt]
             job.streaming = True
             self.free(attempt)
-            self.learn(job, attempt, Outcome.SERVED, self.now - attempt.sent)
+            self.learn(job, attempt, Outcome.SERVED, self.now - attempt.sent_at)
 
     def free(self, attempt: Attempt) -> None:
         """Takes an attempt out of what its backend has at work."""
-        if attempt.busy:
-            attempt.busy = False
+        if attempt.awaiting_response:
+            attempt.awaiting_response = False
             self.note_load(attempt.server)
             attempt.server.flight -= 1
             attempt.server.overdue -= attempt.overdue
             self.flight -= not attempt.overdue
 
-    def open_failed(self, event: OpenFailed) -> None:
+    def open_failed(self, event: ConnectFailed) -> None:
         """A sound backend took no more: what is up is all that it takes from here, for now."""
         server = self.servers.get(event.backend)
         if server is not None and self.settings.pool.learned:
-            server.links, server.crowded = max(1.0, event.up), self.now
+            server.links, server.crowded = max(1.0, event.open_connections), self.now
             self.try_more_later(server)
 
     def try_more_later(self, server: Server) -> None:
@@ -992,7 +997,7 @@
 
     def tell_size(self, server: Server) -> None:
         idle_for = CROWDED_IDLE if server.links < inf else inf  # room in a full table goes round by use
-        self.actions.append(Size(server.backend.address, server.keep, server.links, idle_for))
+        self.actions.append(SetPoolSize(server.backend.address, server.keep, server.links, idle_for))
 
     def take_more(self, server: Server) -> None:
         """Raises a learned bound slowly, as each of many gateways does so on its own."""
@@ -1016,10 +1021,10 @@
     def warm(self, address: str) -> None:
         """Opens ahead at a backend that this gateway will use, and does not yet."""
         server = self.servers.get(address)
-        if server is None or server.flight or server.backend.status is not Status.SERVING:
+        if server is None or server.flight or server.backend.status is not BackendStatus.SERVING:
             return
         if address not in self.banned and self.weight(server, self.cover(self.order)) > 0:
-            self.actions.append(Warm(address, 1))
+            self.actions.append(Preconnect(address, 1))
 
     def useful_until(self, job: Job, attempt: Attempt) -> float:
         # an attempt is given up once its answer is worth little, or a backlog of such work builds up
@@ -1033,35 +1038,36 @@
 
     def attempt_ended(self, event: AttemptEnded) -> None:
         job = self.jobs.get(event.request)
-        if job is None or not 0 <= event.attempt < len(job.attempts) or not job.attempts[event.attempt].out:
+        if (job is None or not 0 <= event.attempt < len(job.attempts)
+                or not job.attempts[event.attempt].in_flight):
             return
         attempt = job.attempts[event.attempt]
-        attempt.out, attempt.unrun = False, event.outcome.never_ran
-        told = not attempt.busy and event.outcome is Outcome.SERVED
+        attempt.in_flight, attempt.never_ran = False, event.outcome.never_ran
+        told = not attempt.awaiting_response and event.outcome is Outcome.SERVED
         self.free(attempt)
-        job.out -= 1
+        job.attempts_in_flight -= 1
         job.throttle.open -= 1
-        job.risky = next((a for a in job.attempts if not a.unrun), None)
+        job.first_possibly_run = next((a for a in job.attempts if not a.never_ran), None)
         if not told:
             self.learn(job, attempt, event.outcome, event.elapsed)
-        self.settle(job, event.true_units)
-        job.ended = job.ended or event.over
-        if not job.ended and not job.out:
+        self.settle(job, event.actual_units)
+        job.ended = job.ended or event.request_ended
+        if not job.ended and not job.attempts_in_flight:
             self.after_failure(job, event)
-        if job.ended and not job.out:
+        if job.ended and not job.attempts_in_flight:
             self.jobs.pop(event.request, None)
         if job.throttle.queue and job.throttle.plan.concurrency > 0:
             self.release(job.throttle)
 
     def settle(self, job: Job, true_units: float) -> None:
         throttle = job.throttle
-        if true_units > 0 and not job.settled and throttle.plan.rate > 0:
-            job.settled = True
+        if true_units > 0 and not job.units_corrected and throttle.plan.rate > 0:
+            job.units_corrected = True
             throttle.refill(self.now)
             back = job.request.units - true_units
             throttle.level = min(throttle.level + back, throttle.bank - throttle.held)
-            if throttle.thin and job.counted > 0:
-                throttle.uncounted -= back * job.counted / job.request.units
+            if throttle.thin and job.reported_units > 0:
+                throttle.uncounted -= back * job.reported_units / job.request.units
             self.release(throttle)
 
     def after_failure(self, job: Job, event: AttemptEnded) -> None:
@@ -1071,7 +1077,7 @@
         # it had done, and a connection that was lost as it was used is no sign of load
         free = outcome.never_ran and self.random.random() < self.passed
         charge = 0.0 if free else min(1.0, event.elapsed / max(usual, EPS))
-        useful = event.again and outcome is not Outcome.TIMED_OUT and end - self.now > usual
+        useful = event.body_replayable and outcome is not Outcome.TIMED_OUT and end - self.now > usual
         if useful and self.retry_credit >= charge:
             before = len(job.attempts)
             self.place(job)
@@ -1084,8 +1090,8 @@
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         server.fade(self.now)
-        kind = (job.klass.name, job.throttle.plan.name)
-        if outcome is Outcome.TURNED_AWAY:  # maybe for no other plan or class: no sign of its health
+        kind = (job.request_class.name, job.throttle.plan.name)
+        if outcome is Outcome.REJECTED:  # maybe for no other plan or class: no sign of its health
             return server.full.update({kind: self.now + FULL_FOR})
         if outcome is Outcome.NO_CONNECTION and self.now - server.crowded < CROWDED_FOR:
             return None  # it took no more from here, and serves
@@ -1097,7 +1103,7 @@
         if bad:
             dead = outcome is Outcome.NO_CONNECTION  # no slowness of the fleet looks like this
             server.failed = self.now
-            held = BROKEN_HELD if outcome is Outcome.BROKEN else 1.0
+            held = BROKEN_HELD if outcome is Outcome.CONNECTION_LOST else 1.0
             server.bad = max(min(2 * server.bad + held, WORST), WORST / 2 if dead else 0.0)
             self.blamed[server] = None
             return None
@@ -1107,11 +1113,11 @@
         self.greet.pop(server.backend.address, None)
         server.full.pop(kind, None)
         units = units_kind(job.request.units)
-        for key in ((job.klass.name, units), (job.klass.name, 0.0)):
+        for key in ((job.request_class.name, units), (job.request_class.name, 0.0)):
             before = self.usual.get(key, elapsed)
             self.usual[key] = before + BLEND / 3 * (elapsed - before)
-        name, slow = server.backend.kind, elapsed / max(attempt.weight, 1e-4)
-        self.work_times.note(job.klass.name, units, name, elapsed, attempt.load, self.now)
+        name, slow = server.backend.machine_type, elapsed / max(attempt.expected_time, 1e-4)
+        self.work_times.note(job.request_class.name, units, name, elapsed, attempt.load, self.now)
         self.kinds[name] = self.kinds.get(name, 1.0) + BLEND / 3 * (slow - self.kinds.get(name, 1.0))
         return None
 
@@ -1121,14 +1127,15 @@
             return
         job.ended = True
         self.given_up[why] += 1
-        keyed = job.klass.repeats is Repeats.BY_KEY and job.klass.scope is Scope.ALL
-        harmless = keyed or job.klass.repeats is Repeats.SAFE
-        if job.risky is not None and not harmless:
+        keyed = (job.request_class.repeat_policy is RepeatPolicy.BY_KEY
+                 and job.request_class.dedup_scope is DedupScope.ALL)
+        harmless = keyed or job.request_class.repeat_policy is RepeatPolicy.SAFE
+        if job.first_possibly_run is not None and not harmless:
             self.actions.append(Fail(job.request.id, why))
         else:
             self.actions.append(Refuse(job.request.id, self.advice(retry_after), why))
         self.call_off(job)
-        if not job.out:
+        if not job.attempts_in_flight:
             self.jobs.pop(job.request.id, None)
 
     def advice(self, retry_after: float) -> float:
@@ -1139,7 +1146,7 @@
 
     def call_off(self, job: Job) -> None:
         for number, attempt in enumerate(job.attempts):
-            if attempt.out and self.settings.may_cancel and not job.streaming:
+            if attempt.in_flight and self.settings.may_cancel and not job.streaming:
                 self.actions.append(Cancel(job.request.id, number))
 
     def client_left(self, request: int) -> None:
@@ -1148,7 +1155,7 @@
             job.ended = True
             self.call_off(job)
             self.release(job.throttle)
-            if not job.out:
+            if not job.attempts_in_flight:
                 self.jobs.pop(request, None)
 
     def timer_due(self, key: str) -> None:
@@ -1160,7 +1167,7 @@
         second, _, after = rest.partition(" ")
         if kind in "oh":
             job = self.jobs.get(int(after or rest))
-            if job is not None and kind == "o" and job.attempts[int(second)].busy:
+            if job is not None and kind == "o" and job.attempts[int(second)].awaiting_response:
                 self.attempt_late(job, job.attempts[int(second)])
             elif job is not None and kind == "h" and job in job.throttle.queue:
                 # each held one has its own end, wherever it stands: its client may have less patience
@@ -1179,7 +1186,7 @@
             self.add_demand(throttle)
         elif kind == "d" and self.now >= self.quiet_until and self.may_call(throttle, throttle.added > 0):
             throttle.reading = f"{rest}.{second}"
-            self.actions.append(Count(throttle.reading, 0.0, 4 * PERIOD))
+            self.actions.append(AddToCounter(throttle.reading, 0.0, 4 * PERIOD))
         return None
 
     def list_changed(self, event: BackendList) -> None:
@@ -1192,11 +1199,11 @@
                 self.remove(address)
         for backend in event.backends:
             self.take_entry(backend)
-        if event.kind is not ListKind.REMEMBERED:
+        if event.kind is not ListKind.CACHED:
             self.last_listed_at = self.now
             if self.first_listed_at is None:
                 self.first_listed_at = self.now
-        if event.kind is ListKind.REMEMBERED and not self.settings.list_pushed:
+        if event.kind is ListKind.CACHED and not self.settings.list_pushed:
             self.actions.append(Subscribe())
 
     def take_entry(self, backend: Backend) -> None:
@@ -1205,11 +1212,11 @@
         self.known.add(address)
         if server is not None and server.backend == backend:
             return
-        if backend.status is Status.GONE:
+        if backend.status is BackendStatus.REMOVED:
             return self.remove(address)
         if server is not None:
             self.serving.discard(server)
-        if server is None or server.backend.started != backend.started:
+        if server is None or server.backend.started_at != backend.started_at:
             if server is None and self.settings.pool.warm:
                 self.actions.append(SetTimer(max(WARM_OVER * self.random.random(), EPS), "w" + address))
             server = self.servers[address] = self.unknown(backend)
@@ -1223,13 +1230,13 @@
         if server is None:
             return
         self.serving.discard(server)
-        self.left_starts[address] = server.backend.started, server.started
+        self.left_starts[address] = server.backend.started_at, server.started
         if len(self.left_starts) > MOST_LEFT:
             del self.left_starts[next(iter(self.left_starts))]
 
     def let_serve(self, server: Server) -> None:
         """Has a server drawn from now on, unless it is not to be."""
-        if server.backend.status is Status.SERVING and server.backend.address not in self.banned:
+        if server.backend.status is BackendStatus.SERVING and server.backend.address not in self.banned:
             share = server.cold_share(self.now, self.settings)
             self.serving.add(server, share < 1.0)
             self.cold_capacity += share if share < 1.0 else 0.0
@@ -1239,8 +1246,8 @@
         place = place_at(backend.address, self.settings)
         made = Server(backend, self.start_limit(), self.now, place)
         listed, believed = self.left_starts.pop(backend.address, (None, None))
-        same = backend.started is not None and backend.started == listed
-        made.started = believed if same else self.credible_start(backend.started)
+        same = backend.started_at is not None and backend.started_at == listed
+        made.started = believed if same else self.credible_start(backend.started_at)
         return made
 
     def start_limit(self) -> float:
@@ -1274,7 +1281,7 @@
             self.greet.pop(address, None)
             if server is not None:
                 self.serving.discard(server)
-            self.actions.append(HangUp(address))
+            self.actions.append(CloseUnusedConnections(address))
         elif isinstance(event, Restore) and address in self.banned:
             self.banned.discard(address)
             place = place_at(address, self.settings) / self.settings.gateways
@@ -1313,13 +1320,15 @@
 
 
 HANDLERS: dict[type[Event], Callable[[Gateway, Any], None]] = {
-    Request: Gateway.arrive, AttemptEnded: Gateway.attempt_ended, Counted: Gateway.counted,
+    Request: Gateway.arrive, AttemptEnded: Gateway.attempt_ended, CounterCallEnded: Gateway.counted,
     BackendList: Gateway.list_changed, Suspend: Gateway.ban, Restore: Gateway.ban,
-    StreamBegun: Gateway.stream_begun, OpenFailed: Gateway.open_failed,
-    TimerDue: lambda g, event: g.timer_due(event.key), Inherit: lambda g, event: g.inherit(event.state),
-    ClientLeft: lambda g, event: g.client_left(event.request), Alone: lambda g, event: end_predecessor(g),
-    Uploaded: lambda g, event: g.uploaded(event.request), Settle: lambda g, event: g.settle_all(),
-    Tuned: lambda g, event: g.tune(event.pool, event.aggregation),
+    StreamStarted: Gateway.stream_begun, ConnectFailed: Gateway.open_failed,
+    TimerExpired: lambda g, event: g.timer_due(event.key),
+    PredecessorState: lambda g, event: g.inherit(event.state),
+    ClientDisconnected: lambda g, event: g.client_left(event.request),
+    PredecessorEnded: lambda g, event: end_predecessor(g),
+    UploadCompleted: lambda g, event: g.uploaded(event.request), FlushCounts: lambda g, event: g.settle_all(),
+    SettingsChanged: lambda g, event: g.tune(event.pool, event.aggregation),
 }
 
 
@@ -1340,7 +1349,7 @@
     step = 1 + drawn % gateways
     while gcd(step, gateways) > 1:
         step += 1
-    return (step * settings.me + drawn // gateways) % gateways
+    return (step * settings.gateway_index + drawn // gateways) % gateways
 
 
 def units_kind(units: float) -> float:
@@ -1349,11 +1358,12 @@
 
 
 def group_of(klass: RequestClass, server: Server) -> str | int:
-    if klass.scope is Scope.ALL:
+    if klass.dedup_scope is DedupScope.ALL:
         return ""
-    return server.backend.zone if klass.scope is Scope.ZONE else server.backend.cell
+    return server.backend.zone if klass.dedup_scope is DedupScope.ZONE else server.backend.cell
 
 
 def worth_until(job: Job) -> float:
     """Until when an answer has most of its worth: the aim, or the deadline where late ones have it too."""
-    return job.arrived + job.klass.aim if job.klass.late_share < WORTH_WAITING else job.request.deadline
+    return (job.arrived_at + job.request_class.aim if job.request_class.late_worth_share < WORTH_WAITING
+            else job.request.deadline)
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -18,20 +18,20 @@
 
     SERVED = "served"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
-    BROKEN = "broken"
+    CONNECTION_LOST = "broken"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
     @property
     def never_ran(self) -> bool:
         """True if this outcome proves that the backend did not run the attempt."""
-        return self in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+        return self in (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
 
-class Repeats(Enum):
+class RepeatPolicy(Enum):
     """Whether a request of a class may be repeated after an attempt that may have run.
 
     SAFE requests may always be repeated, BY_KEY requests only within the group of backends that deduplicates
@@ -43,7 +43,7 @@
     ONCE = "once"
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Group of backends that deduplicate the repeats of a keyed request among themselves."""
 
     ALL = "all"
@@ -54,22 +54,22 @@
 class ListKind(Enum):
     """Kind of a backend list.
 
-    CHANGES has only the entries that changed. WHOLE has all of them, REMEMBERED all that an earlier process
+    CHANGES has only the entries that changed. FULL has all of them, CACHED all that an earlier process
     stored. FAILED reports that no list could be fetched.
     """
 
     CHANGES = "changes"
-    WHOLE = "whole"
-    REMEMBERED = "remembered"
+    FULL = "whole"
+    CACHED = "remembered"
     FAILED = "failed"
 
 
-class Status(Enum):
+class BackendStatus(Enum):
     """State of a backend according to discovery."""
 
     SERVING = "serving"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,18 +79,18 @@
     memory: seconds for which backends remember the key of a request; 0 where they deduplicate nothing
     aim: latency target in seconds, no longer than the deadline
     deadline: seconds from its arrival after which a request needs no answer
-    late_share: fraction of its worth that an answer keeps between the aim and the deadline
+    late_worth_share: fraction of its worth that an answer keeps between the aim and the deadline
     worth: value of an answer within the aim
     stream: whether answers are streamed to the client
     """
 
     name: str
-    repeats: Repeats
-    scope: Scope
+    repeat_policy: RepeatPolicy
+    dedup_scope: DedupScope
     memory: float
     aim: float
     deadline: float
-    late_share: float
+    late_worth_share: float
     worth: float
     stream: bool
 
@@ -105,7 +105,7 @@
     ceiling_rate: units per second of the ceiling, which must never be exceeded; 0 for no ceiling
     ceiling_depth: units that the ceiling allows at once
     worth_factor: factor on the worth of an answer
-    beyond_worth, beyond_cost: value and cost of an answer beyond the quota, as multiples of its worth
+    over_quota_worth, over_quota_cost: value and cost of an answer beyond the quota, as multiples of its worth
     """
 
     name: str
@@ -115,8 +115,8 @@
     ceiling_rate: float
     ceiling_depth: float
     worth_factor: float
-    beyond_worth: float
-    beyond_cost: float
+    over_quota_worth: float
+    over_quota_cost: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -145,14 +145,14 @@
 class Settings:
     """Configuration of one gateway, as read by `embersill.settings`.
 
-    me: index of this gateway among all `gateways`, from 0
+    gateway_index: index of this gateway among all `gateways`, from 0
     list_pushed: discovery sends changes of the list by itself
     ask_every: seconds between two requests for the list
     counter: there is a counter service
-    counter_patience: seconds until a counter call times out
-    counter_price: cost of one counter call
+    counter_timeout: seconds until a counter call times out
+    counter_call_cost: cost of one counter call
     may_cancel, may_probe: backends allow an attempt to be cancelled, allow probes
-    second_copies: a request may have several attempts in flight
+    may_hedge: a request may have several attempts in flight
     max_attempts: attempts of one request
     max_retry_after: longest Retry-After in seconds that clients honour; 0: any
     cold_from: fraction of its capacity that a backend has at its start
@@ -160,12 +160,12 @@
     fall_multiple: multiple of its present capacity at which a cold backend fails
     overload_for: seconds of such a load after which it fails
     report_fields: names of the load figures that backends report
-    most_units: units of the largest request
-    settles: units are corrected to the actual amount once it is known
+    max_units: units of the largest request
+    post_paid: units are corrected to the actual amount once it is known
     aggregation: limit on counter calls; None: no limit
     """
 
-    me: int
+    gateway_index: int
     gateways: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
@@ -173,11 +173,11 @@
     list_pushed: bool
     ask_every: float
     counter: bool
-    counter_patience: float
-    counter_price: float
+    counter_timeout: float
+    counter_call_cost: float
     may_cancel: bool
     may_probe: bool
-    second_copies: bool
+    may_hedge: bool
     max_attempts: int
     max_retry_after: float
     cold_from: float
@@ -185,8 +185,8 @@
     fall_multiple: float
     overload_for: float
     report_fields: tuple[str, ...]
-    most_units: float
-    settles: bool
+    max_units: float
+    post_paid: bool
     pool: PoolSettings = PoolSettings()
     aggregation: AggregationSettings | None = None
 
@@ -195,18 +195,17 @@
 class Backend:
     """Entry of the backend list.
 
-    kind: machine type
     rating: capacity relative to the other backends
-    started: when the process of the backend started; None if unknown
+    started_at: when the process of the backend started; None if unknown
     """
 
     address: str
     zone: str
-    kind: str
+    machine_type: str
     cell: int
-    status: Status
+    status: BackendStatus
     rating: float
-    started: float | None
+    started_at: float | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -214,19 +213,19 @@
     """A request has arrived; the gateway must send exactly one final answer.
 
     deadline: moment after which the client needs no answer
-    width: number of gateways that serve this customer; 0: all
+    gateway_count: number of gateways that serve this customer; 0: all
     first_gateway: index of the first of these gateways
     repeat: the client has sent this request before
-    uploading: its body is still being received; Uploaded reports its end
+    uploading: its body is still being received; UploadCompleted reports its end
     """
 
     id: int
-    klass: str
+    request_class: str
     plan: str
     customer: str
     deadline: float
     units: float
-    width: int
+    gateway_count: int
     first_gateway: int
     repeat: bool
     uploading: bool = False
@@ -241,14 +240,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client of a request has disconnected: the request needs no answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBegun:
+class StreamStarted:
     """The backend has started its answer to this attempt, which is streamed to the client from now on.
 
     No other attempt may answer the request after that.
@@ -263,10 +262,10 @@
     """An attempt has ended.
 
     elapsed: seconds since it was sent
-    over: the request has its final answer, so none is due any more
-    true_units: units that the request actually took; 0 if unknown
+    request_ended: the request has its final answer, so none is due any more
+    actual_units: units that the request actually took; 0 if unknown
     load: load figures that the backend reported, in the order of Settings.report_fields
-    again: False if the body was not kept, so that the request can't be sent again
+    body_replayable: False if the body was not kept, so that the request can't be sent again
     """
 
     request: int
@@ -274,14 +273,14 @@
     backend: str
     outcome: Outcome
     elapsed: float
-    over: bool
-    true_units: float
+    request_ended: bool
+    actual_units: float
     load: tuple[float, ...]
-    again: bool = True
+    body_replayable: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Uploaded:
+class UploadCompleted:
     """The body of a request has been received completely.
 
     The times of the request and of its attempts are measured from now on.
@@ -291,7 +290,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterCallEnded:
     """A call of the counter service has ended.
 
     elapsed: seconds since the call
@@ -305,7 +304,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeEnded:
     """A probe of a backend has ended.
 
     elapsed: seconds since it was sent
@@ -319,7 +318,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpired:
     """The timer that SetTimer started with this key has expired."""
 
     key: str
@@ -340,7 +339,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inherit:
+class PredecessorState:
     """State of the predecessor process: stored when it exited, or handed over while it finishes its requests.
 
     `embersill.state_transfer` has its format.
@@ -350,28 +349,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
+class PredecessorEnded:
     """The predecessor process has exited: it has no requests in flight any more."""
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class FlushCounts:
     """The gateway has answered all requests and exits: unreported units must be sent to the counter now."""
 
 
 @dataclass(frozen=True, slots=True)
-class OpenFailed:
+class ConnectFailed:
     """A backend that answered a moment ago accepted no further connection.
 
-    up: number of open connections to it
+    open_connections: number of open connections to it
     """
 
     backend: str
-    up: int
+    open_connections: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tuned:
+class SettingsChanged:
     """An operator has changed the settings of the connection pools or of the counter calls."""
 
     pool: PoolSettings
@@ -379,8 +378,9 @@
 
 
 Event = (
-    Request | BackendList | ClientLeft | StreamBegun | AttemptEnded | Counted | Probed | TimerDue | Suspend
-    | Restore | Inherit | Alone | Uploaded | Settle | OpenFailed | Tuned
+    Request | BackendList | ClientDisconnected | StreamStarted | AttemptEnded | CounterCallEnded | ProbeEnded
+    | TimerExpired | Suspend | Restore | PredecessorState | PredecessorEnded | UploadCompleted | FlushCounts
+    | ConnectFailed | SettingsChanged
 )
 
 
@@ -389,14 +389,14 @@
     """Start an attempt. The attempts of a request are numbered from 0 in the order in which they are sent.
 
     timeout: seconds from now after which the attempt is given up
-    within: seconds from now by which it must be written completely, or not be sent at all. It limits the
+    send_window: seconds from now by which it must be written completely, or not be sent at all. It limits the
         repeat of a keyed request to the time for which backends remember its key.
     """
 
     request: int
     backend: str
     timeout: float
-    within: float = inf
+    send_window: float = inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -433,22 +433,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send TimerDue with this key after `delay` seconds."""
+    """Send TimerExpired with this key after `delay` seconds."""
 
     delay: float
     key: str
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AddToCounter:
     """Add `amount` to a named number of the counter service and fetch its total.
 
-    forget_after: seconds after which the counter may drop the number
+    expire_after: seconds after which the counter may drop the number
     """
 
     name: str
     amount: float
-    forget_after: float
+    expire_after: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -457,33 +457,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class CloseUnusedConnections:
     """Close the connections to a backend that are idle or still being opened."""
 
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class SetPoolSize:
     """Set the limits of the connection pool of a backend.
 
-    keep: number of idle connections
-    most: number of connections: idle, in use and being opened
-    idle_for: seconds that a connection may be idle; the backends' own idle limit applies as well
+    max_idle: number of idle connections
+    max_connections: number of connections: idle, in use and being opened
+    max_idle_time: seconds that a connection may be idle; the backends' own idle limit applies as well
     """
 
     backend: str
-    keep: float
-    most: float
-    idle_for: float
+    max_idle: float
+    max_connections: float
+    max_idle_time: float
 
 
 @dataclass(frozen=True, slots=True)
-class Warm:
-    """Open connections to a backend in advance, until `many` are idle or being opened."""
+class Preconnect:
+    """Open connections to a backend in advance, until `free_connections` are idle or being opened."""
 
     backend: str
-    many: int
+    free_connections: int
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Count | Subscribe | HangUp | Size | Warm
+Action = (
+    Send | Refuse | Fail | Cancel | SetTimer | AddToCounter | Subscribe | CloseUnusedConnections | SetPoolSize
+    | Preconnect
+)
--- a/embersill/lab/counter.py
+++ b/embersill/lab/counter.py
@@ -6,7 +6,7 @@
 from collections import Counter as Tally
 from collections.abc import Callable
 
-from embersill.interface import Counted, Outcome
+from embersill.interface import CounterCallEnded, Outcome
 from embersill.lab.clock import Time
 from embersill.lab.scenario import Counter as CounterForm
 
@@ -22,7 +22,7 @@
         self.slowed = 1.0  # times as long that a call takes
         self.ends: Tally[str] = Tally()
 
-    def add(self, name: str, amount: float, life: float, told: Callable[[Counted], None]) -> None:
+    def add(self, name: str, amount: float, life: float, told: Callable[[CounterCallEnded], None]) -> None:
         """One call. It adds also where the answer comes too late; silence where the service is down."""
         form, began = self.form, self.clock.now
         part = zlib.crc32(name.encode()) % form.parts
@@ -31,22 +31,22 @@
 
         def tell(outcome: Outcome, total: float) -> None:
             self.ends[outcome.value] += 1
-            told(Counted(name, outcome, self.clock.now - began, total))
+            told(CounterCallEnded(name, outcome, self.clock.now - began, total))
 
         if self.down:
             self.stay_silent(name, told)
         elif (begins - arrives) * form.per_s > form.line * self.slowed:
-            self.clock.later(form.delay, lambda: tell(Outcome.TURNED_AWAY, 0.0))
+            self.clock.later(form.delay, lambda: tell(Outcome.REJECTED, 0.0))
         else:
             self.free_at[part] = done = begins + self.slowed / form.per_s
             back = done + form.delay / 2
             self.clock.later(done - began, lambda: self.serve(name, amount, life, back, began, tell))
 
-    def stay_silent(self, name: str, told: Callable[[Counted], None]) -> None:
+    def stay_silent(self, name: str, told: Callable[[CounterCallEnded], None]) -> None:
         """A call that nobody hears: its caller gives it up."""
         self.ends[Outcome.TIMED_OUT.value] += 1
         patience = self.form.patience
-        self.clock.later(patience, lambda: told(Counted(name, Outcome.TIMED_OUT, patience, 0.0)))
+        self.clock.later(patience, lambda: told(CounterCallEnded(name, Outcome.TIMED_OUT, patience, 0.0)))
 
     def serve(self, name: str, amount: float, life: float, back: float, began: float,
               tell: Callable[[Outcome, float], None]) -> None:
--- a/embersill/lab/node.py
+++ b/embersill/lab/node.py
@@ -8,8 +8,9 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, BackendList, Cancel, ClientLeft, Count, Counted, Event, Fail, HangUp, OpenFailed,
-    Outcome, Refuse, Request, Send, SetTimer, Settings, Size, TimerDue, Warm,
+    Action, AddToCounter, AttemptEnded, BackendList, Cancel, ClientDisconnected, CloseUnusedConnections,
+    ConnectFailed, CounterCallEnded, Event, Fail, Outcome, Preconnect, Refuse, Request, Send, SetPoolSize,
+    SetTimer, Settings, TimerExpired,
 )
 from embersill.lab.clock import Event as Due
 from embersill.lab.clock import Time
@@ -30,7 +31,7 @@
     """A client's try here, until it has its answer.
 
     `deadline` is its client's, `end` the gateway's, a little before. `sent_on` is called at the first
-    attempt, which takes its unit from the quota; `answered` with SERVED, TURNED_AWAY for a refusal (and its
+    attempt, which takes its unit from the quota; `answered` with SERVED, REJECTED for a refusal (and its
     Retry-After), or ERROR for a failure.
     """
 
@@ -111,7 +112,7 @@
         work = self.node.work(attempt.number) + (self.machine.form.handshake_s if self.first else 0.0)
         self.first = False
         known = self.node.gateway.servers.get(self.backend)
-        told = known is not None and known.backend.started == self.machine.started
+        told = known is not None and known.backend.started_at == self.machine.started
         self.job = job = Job(work, self.answer, told)
         if self.node.way.passes(self.machine.zone):
             self.node.clock.later(self.node.way.delay(self.machine), lambda: self.machine.take(job))
@@ -127,7 +128,7 @@
         self.attempt = self.job = attempt.link = None
         self.node.pool.answered(self)
         self.node.pool.put_back(self)
-        attempt.end(Outcome.SERVED if served else Outcome.TURNED_AWAY)
+        attempt.end(Outcome.SERVED if served else Outcome.REJECTED)
 
     def give_up(self, attempt: Attempt) -> None:
         if self.attempt is attempt:
@@ -146,7 +147,7 @@
             if attempt is not None:
                 attempt.link = None
                 self.node.pool.broke(self, attempt.sent_at)
-                attempt.end(Outcome.BROKEN)
+                attempt.end(Outcome.CONNECTION_LOST)
 
     def shut(self) -> None:
         self.dialled.cancel()
@@ -177,7 +178,7 @@
         self.skew = skew
         self.gateway = Gateway(settings, seed, clock.now + skew)
         self.pool = Pool(lambda: clock.now, self.open, most, keepalive, settings.pool, seed)
-        self.pool.open_failed = lambda backend, up: self.post(OpenFailed(backend, up))
+        self.pool.open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
         self.calls: dict[int, Call] = {}
         self.taken = self.wired = 0
         self.events: list[Event] = []
@@ -215,7 +216,7 @@
         for attempt in call.tries:
             if attempt.link is None:
                 attempt.end(Outcome.NOT_SENT)
-        self.post(ClientLeft(number))
+        self.post(ClientDisconnected(number))
         self.forget(number)
 
     def forget(self, number: int) -> None:
@@ -234,18 +235,18 @@
         self.rules.told(self.name, event.backends, self.clock.now)
         for backend in event.backends:
             if backend.status.value == "serving":
-                self.pool.set_address(backend.address, NOWHERE, backend.started)
+                self.pool.set_address(backend.address, NOWHERE, backend.started_at)
             else:
                 self.pool.retire(backend.address)
         self.post(event)
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterCallEnded) -> None:
         if self.alive:
             self.post(event)
 
     def due(self, key: str) -> None:
         if self.alive:
-            self.post(TimerDue(key))
+            self.post(TimerExpired(key))
 
     def work(self, number: int) -> float:
         return self.calls[number].work
@@ -283,24 +284,24 @@
         elif isinstance(action, SetTimer):
             key = action.key
             self.clock.later(action.delay, lambda: self.due(key))
-        elif isinstance(action, Count):
+        elif isinstance(action, AddToCounter):
             if self.way.passes(self.counter.zone):
-                self.counter.add(action.name, action.amount, action.forget_after, self.counted)
+                self.counter.add(action.name, action.amount, action.expire_after, self.counted)
             else:
                 self.counter.stay_silent(action.name, self.counted)
         elif isinstance(action, Refuse):
-            self.finish(action.request, Outcome.TURNED_AWAY, action.retry_after)
+            self.finish(action.request, Outcome.REJECTED, action.retry_after)
         elif isinstance(action, Fail):
             self.finish(action.request, Outcome.ERROR)
         elif isinstance(action, Cancel):
             call = self.calls.get(action.request)
             if call is not None:
                 call.tries[action.attempt].end(Outcome.CANCELLED)
-        elif isinstance(action, Size):
-            self.pool.set_size(action.backend, action.keep, action.most, action.idle_for)
-        elif isinstance(action, Warm):
-            self.pool.warm(action.backend, action.many)
-        elif isinstance(action, HangUp):
+        elif isinstance(action, SetPoolSize):
+            self.pool.set_size(action.backend, action.max_idle, action.max_connections, action.max_idle_time)
+        elif isinstance(action, Preconnect):
+            self.pool.warm(action.backend, action.free_connections)
+        elif isinstance(action, CloseUnusedConnections):
             self.pool.hang_up(action.backend)
 
     def send(self, action: Send) -> None:
--- a/embersill/lab/real.py
+++ b/embersill/lab/real.py
@@ -22,7 +22,7 @@
 import uvloop
 from msgspec import structs
 
-from embersill.interface import Backend, BackendList, Counted, Outcome, Request, Status
+from embersill.interface import Backend, BackendList, CounterCallEnded, Outcome, Request, BackendStatus
 from embersill.lab.clock import Event
 from embersill.lab.machine import Job, Machine
 from embersill.lab.node import Call, Figures
@@ -48,7 +48,8 @@
     "two lengths": b"POST /api HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     "a head without end": b"GET /api HTTP/1.1\r\n" + b"X-Filler: " + b"x" * 100_000,
 }
-STATES = {Status.SERVING: "SERVING", Status.DRAINING: "DRAINING", Status.GONE: "DELETED"}
+STATES = {
+    BackendStatus.SERVING: "SERVING", BackendStatus.DRAINING: "DRAINING", BackendStatus.REMOVED: "DELETED"}
 
 
 class Crashed(Exception):
@@ -161,7 +162,7 @@
             await asyncio.sleep(node.way.delay(self.machine))
             body = b"served " + asked[1]["x-call-id"].encode()
             writer.write(message(200, body) if served.result() else message(503, b"", "X-Rejected: 1"))
-            out.end(Outcome.SERVED if served.result() else Outcome.TURNED_AWAY)
+            out.end(Outcome.SERVED if served.result() else Outcome.REJECTED)
             closing.cancel()
             await asyncio.wait({closing})
             if closing.cancelled():
@@ -203,7 +204,7 @@
     def call(self, words: list[str]) -> asyncio.Future[bytes]:
         answer: asyncio.Future[bytes] = self.world.loop.create_future()
 
-        def told(counted: Counted) -> None:
+        def told(counted: CounterCallEnded) -> None:
             served = counted.outcome is Outcome.SERVED
             if not answer.done():
                 answer.set_result(total_text(counted.total) if served else b"-BUSY\r\n")
@@ -238,13 +239,13 @@
     def knows(self, machine: Machine) -> bool:
         """Its gateway was told of that machine's last start."""
         known = self.entries.get(machine.name)
-        return known is not None and known[1].started == machine.started
+        return known is not None and known[1].started_at == machine.started
 
     def listing(self, since: int = 0) -> dict[str, Any]:
         listed = [
             {"instanceId": b.address, "hostPort": self.world.servers[b.address].address, "zone": b.zone,
-             "machineType": b.kind, "cell": b.cell, "lifecycle": STATES[b.status], "weight": b.rating,
-             "startedAtMs": round(1000 * (b.started or 0.0))}
+             "machineType": b.machine_type, "cell": b.cell, "lifecycle": STATES[b.status], "weight": b.rating,
+             "startedAtMs": round(1000 * (b.started_at or 0.0))}
             for generation, b in self.entries.values() if generation > since]
         return {"generation": self.generation, "reset": since == 0, "instances": listed}
 
@@ -336,7 +337,7 @@
     async def ask(self, name: str, held: Held) -> None:
         """The whole of a client's try. Without an answer in time it goes away, and the rules see that."""
         world, call = self.world, held.call
-        outcome, retry_after = Outcome.BROKEN, 0.0
+        outcome, retry_after = Outcome.CONNECTION_LOST, 0.0
         try:
             async with asyncio.timeout(max(call.deadline + SLACK - world.clock.now, 0.0)):
                 first, headers, body = await self.exchange(self.text(name, held))
@@ -348,7 +349,7 @@
                                    f"{held.number} at {self.name} lost its connection")
         else:
             status = int(first.split()[1])
-            outcome = {200: Outcome.SERVED, 429: Outcome.TURNED_AWAY, 503: Outcome.TURNED_AWAY}.get(
+            outcome = {200: Outcome.SERVED, 429: Outcome.REJECTED, 503: Outcome.REJECTED}.get(
                 status, Outcome.ERROR)
             retry_after = float(headers.get("retry-after", 0.0))
             if status == 200 and body != b"served " + name.encode():
@@ -373,7 +374,7 @@
             f"{'GET' if get else 'POST'} /api?client={request.customer} HTTP/1.1", "Host: backend.local",
             f"X-Call-Id: {name}", f"X-Call-Class: {call.klass.name}", f"Plan: {call.plan.name}",
             f"X-Budget: {max(call.deadline - self.world.clock.now, 0.001):.3f}",
-            f"Quota-Info: units=1,spread={request.width},first={request.first_gateway}",
+            f"Quota-Info: units=1,spread={request.gateway_count},first={request.first_gateway}",
             *([] if get else [f"Content-Length: {len(body)}"]),
             *([f"Idempotency-Key: {name * 2}"] if call.klass.semantics == "by_key" else []),
             *(["X-Again: 1"] if request.repeat else []), "", ""]
--- a/embersill/lab/rules.py
+++ b/embersill/lab/rules.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from embersill.interface import Backend, Outcome, Status
+from embersill.interface import Backend, Outcome, BackendStatus
 from embersill.lab.customers import Store
 from embersill.lab.machine import Machine
 from embersill.lab.scenario import Class, PlanForm
@@ -70,7 +70,7 @@
     def told(self, node: str, listed: Iterable[Backend], now: float) -> None:
         """A gateway hears of changes."""
         for backend in listed:
-            if backend.status is Status.SERVING:
+            if backend.status is BackendStatus.SERVING:
                 self.drained.pop((node, backend.address), None)
             else:
                 self.drained.setdefault((node, backend.address), now)
@@ -124,7 +124,7 @@
             return self.breach("one answer", now, f"{number} at {node} is answered again, or was never taken")
         risky = asked.risky()
         safe = asked.klass.semantics == "repeatable" or group(asked.klass, None) == ""
-        if outcome is Outcome.TURNED_AWAY and risky is not None and not safe:
+        if outcome is Outcome.REJECTED and risky is not None and not safe:
             self.breach("no repeat", now, f"{asked.name} is refused and may have run at {risky.machine.name}")
         if now > asked.deadline + SLACK:
             self.breach("one answer", now, f"{asked.name} is answered {now - asked.deadline:.2f} s late")
--- a/embersill/lab/scale/hollow.py
+++ b/embersill/lab/scale/hollow.py
@@ -15,8 +15,8 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, BackendList, Cancel, Count, Counted, Event, Fail, Outcome, Refuse, Request, Send,
-    SetTimer, TimerDue,
+    Action, AddToCounter, AttemptEnded, BackendList, Cancel, CounterCallEnded, Event, Fail, Outcome, Refuse,
+    Request, Send, SetTimer, TimerExpired,
 )
 from embersill.lab.scale.clock import unix_time
 from embersill.lab.scale.deployment import (
@@ -227,11 +227,11 @@
             tally.seconds += seconds + self.process.parse_timer.last.seconds
         self.figures.told.append((listing.generation, time.monotonic()))
 
-    def counter_told(self, counted: Counted) -> None:
+    def counter_told(self, counted: CounterCallEnded) -> None:
         self.post(counted)
 
     def timer_due(self, key: str, due: float) -> None:
-        self.post(TimerDue(key), due)  # the loop may be early by less than a millisecond
+        self.post(TimerExpired(key), due)  # the loop may be early by less than a millisecond
 
     def service_ended(self, request: int, outcome: Outcome) -> None:
         pending = self.open.get(request)
@@ -278,10 +278,10 @@
             case SetTimer():
                 due = unix_time() + action.delay
                 self.loop.call_later(action.delay, self.timer_due, action.key, due)
-            case Count():
+            case AddToCounter():
                 assert self.counter is not None
                 self.figures.counter_calls += 1
-                self.counter.add(action.name, action.amount, action.forget_after)
+                self.counter.add(action.name, action.amount, action.expire_after)
             case Refuse():
                 self.refuse(action.request)
             case Fail():
--- a/embersill/lab/scale/metered_router.py
+++ b/embersill/lab/scale/metered_router.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from embersill.interface import Counted, Outcome
+from embersill.interface import CounterCallEnded, Outcome
 from embersill.lab.scale.metering import ByteMeter, metered_loop
 from embersill.net.aggregation import AggregatorRouter, Member
 from embersill.net.counter import Counter
@@ -33,7 +33,8 @@
 
     def __init__(
         self, clock: Callable[[], float], directory: Sequence[Address], patience: float, dial_timeout: float,
-        told: Callable[[Counted], None], connections: int, seed: int, gateways: int, *, meter: ByteMeter,
+        told: Callable[[CounterCallEnded], None], connections: int, seed: int, gateways: int, *,
+        meter: ByteMeter,
     ) -> None:
         super().__init__(clock, directory, patience, dial_timeout, told, connections, seed, gateways)
         self.meter = meter
@@ -58,7 +59,7 @@
         if failover is not None and not failover.left_at and failover.aggregator not in self.members:
             failover.left_at = time.monotonic()
 
-    def answered(self, counter: Counter, counted: Counted) -> None:
+    def answered(self, counter: Counter, counted: CounterCallEnded) -> None:
         failover = self.failover
         if failover is not None and failover.left_at and not failover.answered_at:
             customer = counted.name.rpartition(".")[0].encode()
--- a/embersill/lab/world.py
+++ b/embersill/lab/world.py
@@ -12,9 +12,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from embersill.interface import (
-    Backend, BackendList, ListKind, Outcome, Request, Settings, Status,
-)
+from embersill.interface import Backend, BackendList, BackendStatus, ListKind, Outcome, Request, Settings
 from embersill.lab.clock import BEGIN, Clock, Time
 from embersill.lab.counter import CounterService
 from embersill.lab.customers import (
@@ -176,7 +174,7 @@
         self.starts[me] += 1
         way = Way(scenario.net, zone, random.Random(seed), self.weather, scenario.fleet.regions)
         node = self.make_node(me, name, seed, way)
-        node.hear(BackendList(ListKind.WHOLE, tuple(self.entry(m) for m in self.machines.values())))
+        node.hear(BackendList(ListKind.FULL, tuple(self.entry(m) for m in self.machines.values())))
         return node
 
     def make_node(self, me: int, name: str, seed: int, way: Way) -> GatewayProcess:
@@ -186,7 +184,7 @@
                     self.skews.get(me, 0.0))
 
     def entry(self, machine: Machine) -> Backend:
-        status = Status.DRAINING if machine.name in self.leaving else Status.SERVING
+        status = BackendStatus.DRAINING if machine.name in self.leaving else BackendStatus.SERVING
         return Backend(machine.name, machine.zone, "k", machine.cell, status, 1.0, machine.started)
 
     def kill(self, me: int, lasts: float) -> None:
@@ -197,7 +195,7 @@
         notice = float(self.chaos.uniform(*NOTICED))
         self.heard_dead[me] = self.clock.now + notice
         for call in node.die():
-            call.answered(Outcome.BROKEN, 0.0)
+            call.answered(Outcome.CONNECTION_LOST, 0.0)
         self.clock.later(lasts + RESTART, lambda: self.restart(me))
 
     def restart(self, me: int) -> None:
@@ -327,7 +325,7 @@
         now = self.clock.now
         if outcome is Outcome.SERVED:
             return self.serve(asked, now - asked.began)
-        harmless = outcome in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION)
+        harmless = outcome in (Outcome.REJECTED, Outcome.NO_CONNECTION)
         again = harmless or asked.klass.semantics == "repeatable"
         pause = self.pause(asked, retry_after)
         if again and asked.tries <= self.scenario.load.retries and pause < asked.left(now):
--- a/embersill/net/aggregation.py
+++ b/embersill/net/aggregation.py
@@ -16,7 +16,7 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from embersill.interface import Counted, Outcome, Status
+from embersill.interface import CounterCallEnded, Outcome, BackendStatus
 from embersill.net.counter import Counter
 from embersill.net.discovery import LEAST_LIST, Discovery
 from embersill.net.listing import Address, Entry, Listing
@@ -49,7 +49,7 @@
 
     def __init__(self, counter: Counter | None) -> None:
         self.counter = counter
-        self.end: Counted | None = None
+        self.end: CounterCallEnded | None = None
 
 
 class AggregatorRouter:
@@ -60,7 +60,7 @@
 
     def __init__(
         self, clock: Callable[[], float], directory: Sequence[Address], patience: float, dial_timeout: float,
-        told: Callable[[Counted], None], connections: int, seed: int = 0, gateways: int = 1,
+        told: Callable[[CounterCallEnded], None], connections: int, seed: int = 0, gateways: int = 1,
     ) -> None:
         """`connections`: the most that may be open at once, the one to the list service included."""
         self.clock, self.patience, self.dial_timeout, self.told = clock, patience, dial_timeout, told
@@ -81,18 +81,18 @@
         call = PlacedCall(counter)
         self.calls.setdefault(name, deque()).append(call)
         if counter is None:
-            self.end(call, Counted(name, Outcome.NO_CONNECTION, 0.0, 0.0))
+            self.end(call, CounterCallEnded(name, Outcome.NO_CONNECTION, 0.0, 0.0))
         else:
             counter.add(name, amount, forget_after)
 
-    def answered(self, counter: Counter, counted: Counted) -> None:
+    def answered(self, counter: Counter, counted: CounterCallEnded) -> None:
         """A member's connection told of the first call for this name that is out there."""
         for call in self.calls.get(counted.name, ()):
             if call.counter is counter and call.end is None:
                 return self.end(call, counted)
         return None
 
-    def end(self, call: PlacedCall, counted: Counted) -> None:
+    def end(self, call: PlacedCall, counted: CounterCallEnded) -> None:
         """Tells of a call, and of those behind it that have ended; not before those ahead of it."""
         call.end = counted
         calls = self.calls[counted.name]
@@ -145,13 +145,13 @@
             if name in told or listing.whole:
                 self.keep_or_drop(member, told.get(name))
         for name, entry in told.items():
-            if entry.backend.status is Status.SERVING and name not in self.members:
+            if entry.backend.status is BackendStatus.SERVING and name not in self.members:
                 self.members[name] = Member(name, entry.address)
                 log.info("aggregator %s serves; there are %d", name, len(self.members))
 
     def keep_or_drop(self, member: Member, entry: Entry | None) -> None:
         """A member that no longer serves, or has moved, gets no further call."""
-        serves = entry is not None and entry.backend.status is Status.SERVING
+        serves = entry is not None and entry.backend.status is BackendStatus.SERVING
         if serves and entry is not None and entry.address == member.address:
             return
         del self.members[member.name]
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -201,7 +201,7 @@
         if attempt is None or self.paused or now - self.moved_at <= STALLED:
             return
         if self.sink is not None:
-            attempt.end(Answer(Outcome.BROKEN))
+            attempt.end(Answer(Outcome.CONNECTION_LOST))
         elif self.unsent and attempt.upload is not None:
             attempt.end(Answer(Outcome.NO_CONNECTION))
 
@@ -341,7 +341,7 @@
             self.finish(attempt)
         elif self.garbled or self.badly_framed or self.head_size > MOST_HEAD or self.trailers > MOST_HEAD:
             # a backend that answers at all may have run the request, however odd the answer is
-            attempt.end(Answer(Outcome.BROKEN))
+            attempt.end(Answer(Outcome.CONNECTION_LOST))
         elif self.unwanted:
             attempt.end(Answer(self.outcome()))
         else:
@@ -368,7 +368,7 @@
 
     def outcome(self) -> Outcome:
         """Of an answer that is no service."""
-        return Outcome.TURNED_AWAY if self.status in (503, 504) and self.rejected else Outcome.ERROR
+        return Outcome.REJECTED if self.status in (503, 504) and self.rejected else Outcome.ERROR
 
     def eof_received(self) -> bool:
         attempt = self.attempt
@@ -385,7 +385,7 @@
             self.pool.broke(self, attempt.sent_at)
             # an unsent rest proves that the backend never had the whole; a write that went through proves
             # nothing, also not on a kept connection that the backend had closed by then
-            attempt.end(Answer(Outcome.BROKEN if self.counted else Outcome.NO_CONNECTION))
+            attempt.end(Answer(Outcome.CONNECTION_LOST if self.counted else Outcome.NO_CONNECTION))
 
 
 def read_units(value: bytes) -> float:
--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -19,7 +19,7 @@
 
 import httptools
 
-from embersill.interface import Repeats, Settings
+from embersill.interface import RepeatPolicy, Settings
 from embersill.net.bodies import MOST_BODY, READ, WHOLE, Upload, ended_unread, is_readable
 from embersill.net.driver import Call, Driver
 from embersill.net.framing import (
@@ -114,7 +114,7 @@
     def __init__(self, settings: Settings) -> None:
         self.classes = {form: c for c in settings.classes for form in header_forms(c.name)}
         self.plans = {form: p.name for p in settings.plans for form in header_forms(p.name)}
-        self.gateways, self.most_units = settings.gateways, settings.most_units
+        self.gateways, self.most_units = settings.gateways, settings.max_units
 
     def read(self, received: float, method: bytes, target: bytes, headers: dict[bytes, bytes],
              body: bytes, upload: Upload | None = None) -> Call:
@@ -122,7 +122,7 @@
         klass = self.classes.get(self.needed(headers, b"x-call-class"))
         if klass is None:
             raise BadRequest(400, "X-Call-Class names no class")
-        wanted = b"GET" if klass.repeats is Repeats.SAFE else b"POST"
+        wanted = b"GET" if klass.repeat_policy is RepeatPolicy.SAFE else b"POST"
         if method != wanted:
             raise BadRequest(405, "the class goes by another method", b"Allow: %b\r\n" % wanted)
         plan = self.plans.get(self.needed(headers, b"plan"))
@@ -137,17 +137,17 @@
             received=received, budget=float(self.matched(headers, b"x-budget", BUDGET)), klass=klass.name,
             plan=plan, customer=customer, units=units, width=width,
             first_gateway=first, repeat=headers.get(b"x-again") == b"1",
-            head=self.head(method, target, headers, klass.repeats,
+            head=self.head(method, target, headers, klass.repeat_policy,
                            upload.header if upload is not None else b"Content-Length: %d" % len(body)),
             body=body, upload=upload, call_id=headers[b"x-call-id"].decode("ascii"),
         )
 
-    def head(self, method: bytes, target: bytes, headers: dict[bytes, bytes], repeats: Repeats,
+    def head(self, method: bytes, target: bytes, headers: dict[bytes, bytes], repeats: RepeatPolicy,
              framing: bytes) -> bytes:
         """What goes on to a backend, unchanged; the budget is the gateway's own and comes last."""
         lines = [b"%b %b HTTP/1.1" % (method, target), b"Host: %b" % headers.get(b"host", b"backend.local"),
                  b"X-Call-Id: %b" % self.matched(headers, b"x-call-id", CALL_ID)]
-        if repeats is Repeats.BY_KEY:
+        if repeats is RepeatPolicy.BY_KEY:
             lines.append(b"Idempotency-Key: %b" % self.matched(headers, b"idempotency-key", KEY))
         elif b"idempotency-key" in headers:
             raise BadRequest(400, "Idempotency-Key on a class that carries none")
--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -12,7 +12,7 @@
 
 import hiredis
 
-from embersill.interface import Counted, Outcome
+from embersill.interface import CounterCallEnded, Outcome
 
 LINES = 4  # connections: names are dealt out over them, so that one slow part holds up fewer of the others
 SILENT_AFTER = 10.0  # times the patience that the first in line may wait before its connection is given up
@@ -120,7 +120,7 @@
     """A reply as outcome and total. The module takes all but a time-out as proof that nothing was added."""
     if isinstance(reply, hiredis.ReplyError):
         kind = str(reply).partition(" ")[0]
-        known = {"BUSY": Outcome.TURNED_AWAY, "ERR": Outcome.ERROR}
+        known = {"BUSY": Outcome.REJECTED, "ERR": Outcome.ERROR}
         return known.get(kind, Outcome.TIMED_OUT), 0.0
     text = b"%d" % reply if isinstance(reply, int) and not isinstance(reply, bool) else reply
     if isinstance(text, bytes) and TOTAL.fullmatch(text) and math.isfinite(total := float(text)):
@@ -141,7 +141,7 @@
 
     def __init__(
         self, clock: Callable[[], float], address: tuple[str, int], patience: float, dial_timeout: float,
-        told: Callable[[Counted], None], lines: int = LINES,
+        told: Callable[[CounterCallEnded], None], lines: int = LINES,
     ) -> None:
         self.clock, self.address, self.patience, self.told = clock, address, patience, told
         self.dial_timeout = dial_timeout
@@ -203,7 +203,7 @@
         call.told = True
         if call.timer is not None:
             call.timer.cancel()
-        self.told(Counted(call.name, outcome, self.clock() - call.started, total))
+        self.told(CounterCallEnded(call.name, outcome, self.clock() - call.started, total))
 
     def close(self) -> None:
         for line in (*self.lines, *self.left):
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -17,9 +17,10 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AggregationSettings, Alone, AttemptEnded, BackendList, Cancel, ClientLeft, Count, Counted, Event,
-    Fail, HangUp, Inherit, OpenFailed, Outcome, PoolSettings, Refuse, Request, Restore, Send, SetTimer,
-    Settle, Size, Status, StreamBegun, Suspend, TimerDue, Tuned, Uploaded, Warm,
+    Action, AddToCounter, AggregationSettings, AttemptEnded, BackendList, BackendStatus, Cancel,
+    ClientDisconnected, CloseUnusedConnections, ConnectFailed, CounterCallEnded, Event, Fail, FlushCounts,
+    Outcome, PoolSettings, Preconnect, PredecessorEnded, PredecessorState, Refuse, Request, Restore, Send,
+    SetPoolSize, SetTimer, SettingsChanged, StreamStarted, Suspend, TimerExpired, UploadCompleted,
 )
 from embersill.net.backends import Answer, Attempt, Dialer
 from embersill.net.bodies import Sink, Upload
@@ -97,7 +98,7 @@
 
     def __init__(self, gateway: Gateway, clock: Callable[[], float], dialer: Dialer) -> None:
         self.gateway, self.clock, self.dialer, self.pool = gateway, clock, dialer, dialer.pool
-        self.pool.open_failed = lambda backend, up: self.post(OpenFailed(backend, up))
+        self.pool.open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
         self.counter: CounterClient | None = None
         self.loop = asyncio.get_running_loop()
         self.pending: dict[int, Pending] = {}
@@ -116,7 +117,8 @@
         self.reporter = self.loop.call_later(REPORT_EVERY, self.report)
         self.carry: dict[type, Callable[..., None]] = {
             Send: self.send, SetTimer: self.set_timer, Refuse: self.refuse, Fail: self.fail,
-            Cancel: self.cancel, Count: self.count, HangUp: self.hang_up, Size: self.size, Warm: self.warm,
+            Cancel: self.cancel, AddToCounter: self.count,
+            CloseUnusedConnections: self.hang_up, SetPoolSize: self.size, Preconnect: self.warm,
         }
 
     def use_trace(self, trace: Trace | None) -> None:
@@ -162,7 +164,7 @@
             now = self.clock()
             pending.end = pending.end_from(now)
             self.set_guard(pending, now)
-            self.post(Uploaded(number))
+            self.post(UploadCompleted(number))
 
     def passing(self, pending: Pending, place: int, headers: bytes, length: int | None) -> Sink | None:
         """An answer's first bytes are there: from now on it belongs to the client."""
@@ -170,7 +172,7 @@
             return None
         if pending.guard is not None:
             pending.guard.cancel()
-        self.post(StreamBegun(pending.number, place))
+        self.post(StreamStarted(pending.number, place))
         pending.sink = pending.exchange.begin(headers, length)
         return pending.sink
 
@@ -179,14 +181,14 @@
         if pending is not None and not pending.over:
             self.figures.others["client left"] += 1
             self.finish(pending, reason="client left")
-            self.post(ClientLeft(number))
+            self.post(ClientDisconnected(number))
 
     def list_told(self, listing: Listing) -> None:
         """Addresses first, then the module, then the ends: what waited there is sent on by the new list."""
         named = {entry.backend.address: entry for entry in listing.entries}
-        serving = {a: entry for a, entry in named.items() if entry.backend.status is Status.SERVING}
+        serving = {a: entry for a, entry in named.items() if entry.backend.status is BackendStatus.SERVING}
         for address, entry in serving.items():
-            self.pool.set_address(address, entry.address, entry.backend.started)
+            self.pool.set_address(address, entry.address, entry.backend.started_at)
         if listing.whole:
             self.serving.clear()
         self.serving.difference_update(named)
@@ -213,14 +215,14 @@
         """Seconds since the last answer of discovery was taken in."""
         return self.clock() - self.list_told_at
 
-    def counter_told(self, counted: Counted) -> None:
+    def counter_told(self, counted: CounterCallEnded) -> None:
         self.counting -= 1
         self.figures.others[f"counter {counted.outcome.value}"] += 1
         self.post(counted)
 
     def timer_due(self, key: str, due: float) -> None:
         # the loop counts whole milliseconds and may come early: for the module a timer is never early
-        self.post(TimerDue(key), due)
+        self.post(TimerExpired(key), due)
 
     def attempt_ended(self, pending: Pending, place: int, attempt: Attempt, answer: Answer) -> None:
         pending.out -= 1
@@ -280,7 +282,7 @@
             action.backend, pending.call.head, pending.call.body, now, until,
             lambda attempt, answer: self.attempt_ended(pending, place, attempt, answer),
             lambda attempt, headers, length: self.passing(pending, place, headers, length),
-            pending.call.upload, now + action.within, lambda: self.is_abandoned(pending),
+            pending.call.upload, now + action.send_window, lambda: self.is_abandoned(pending),
         )
         if self.trace is not None:
             reason = pending.last_outcome or "first"
@@ -314,20 +316,20 @@
         due = self.clock() + action.delay
         self.loop.call_later(action.delay, self.timer_due, action.key, due)
 
-    def count(self, action: Count) -> None:
+    def count(self, action: AddToCounter) -> None:
         if self.counter is None:
-            return self.post(Counted(action.name, Outcome.NO_CONNECTION, 0.0, 0.0))
+            return self.post(CounterCallEnded(action.name, Outcome.NO_CONNECTION, 0.0, 0.0))
         self.counting += 1
-        return self.counter.add(action.name, action.amount, action.forget_after)
+        return self.counter.add(action.name, action.amount, action.expire_after)
 
-    def hang_up(self, action: HangUp) -> None:
+    def hang_up(self, action: CloseUnusedConnections) -> None:
         self.pool.hang_up(action.backend)
 
-    def size(self, action: Size) -> None:
-        self.pool.set_size(action.backend, action.keep, action.most, action.idle_for)
+    def size(self, action: SetPoolSize) -> None:
+        self.pool.set_size(action.backend, action.max_idle, action.max_connections, action.max_idle_time)
 
-    def warm(self, action: Warm) -> None:
-        self.pool.warm(action.backend, action.many)
+    def warm(self, action: Preconnect) -> None:
+        self.pool.warm(action.backend, action.free_connections)
 
     # final answers
 
@@ -374,7 +376,7 @@
         if not pending.over:
             log.warning("request %d had no answer from the module at its end", pending.number)
             self.finish(pending, 504, reason="guard")
-            self.post(ClientLeft(pending.number))
+            self.post(ClientDisconnected(pending.number))
             self.forget(pending)
 
     def report(self) -> None:
@@ -402,7 +404,7 @@
     def tune(self, pool: PoolSettings, aggregation: AggregationSettings | None = None) -> None:
         """Staff have changed how connections are kept, or how counter calls are bounded."""
         self.pool.settings = pool
-        self.post(Tuned(pool, aggregation))
+        self.post(SettingsChanged(pool, aggregation))
 
     def suspend(self, backend: str) -> bool:
         """Takes a backend out; False where it was never listed."""
@@ -428,7 +430,7 @@
 
     async def settle(self, at_most: float) -> None:
         """Tells the counter what it was not told; each call ends with its patience, or is left."""
-        self.post(Settle())
+        self.post(FlushCounts())
         end = self.clock() + at_most
         while self.counting and self.clock() < end:
             await asyncio.sleep(LOOK_AGAIN)
@@ -440,10 +442,10 @@
         self.gateway.handed = False
 
     def inherit(self, state: dict[str, Any]) -> None:
-        self.post(Inherit(state))
+        self.post(PredecessorState(state))
 
     def alone(self) -> None:
-        self.post(Alone())
+        self.post(PredecessorEnded())
 
     def rescue_all(self) -> None:
         """The process ends: what was never sent on is harmless to try again, and told so."""
@@ -452,5 +454,5 @@
                 self.rescue(pending)
             elif not pending.over:
                 self.finish(pending, 503, b"", ELSEWHERE, "the process ends")
-                self.post(ClientLeft(pending.number))
+                self.post(ClientDisconnected(pending.number))
                 self.forget(pending)
--- a/embersill/net/list_feed.py
+++ b/embersill/net/list_feed.py
@@ -14,7 +14,7 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from embersill.interface import ListKind, Status
+from embersill.interface import ListKind, BackendStatus
 from embersill.net.listing import BadList, Entry, Listing, parse_listing, read_entry
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
             entries = [entry async for entry in self.read_entries(text.instances)]
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
             raise BadList(f"{type(error).__name__}: {error}") from error
-        return Listing(ListKind.WHOLE if whole else ListKind.CHANGES, generation, tuple(entries))
+        return Listing(ListKind.FULL if whole else ListKind.CHANGES, generation, tuple(entries))
 
     async def read_entries(self, texts: list[Any]) -> AsyncIterator[Entry]:
         import msgspec
@@ -89,11 +89,11 @@
         new = [entry for address, entry in named.items() if self.held.get(address) != entry]
         if listing.whole:
             new += [
-                replace(entry, backend=replace(entry.backend, status=Status.GONE))
+                replace(entry, backend=replace(entry.backend, status=BackendStatus.REMOVED))
                 for address, entry in self.held.items()
                 if address not in named
             ]
-        new.sort(key=lambda entry: entry.backend.status is Status.SERVING)  # what drains goes first
+        new.sort(key=lambda entry: entry.backend.status is BackendStatus.SERVING)  # what drains goes first
         for first in range(0, max(len(new), 1), SLICE):
             if first:
                 await asyncio.sleep(0)
@@ -103,7 +103,7 @@
         if kind is not ListKind.CHANGES:
             self.held.clear()
         for entry in entries:
-            if entry.backend.status is Status.GONE:
+            if entry.backend.status is BackendStatus.REMOVED:
                 self.held.pop(entry.backend.address, None)
             else:
                 self.held[entry.backend.address] = entry
--- a/embersill/net/listing.py
+++ b/embersill/net/listing.py
@@ -8,7 +8,7 @@
 from math import isfinite
 from typing import Any
 
-from embersill.interface import Backend, ListKind, Status
+from embersill.interface import Backend, ListKind, BackendStatus
 from embersill.settings import STATUSES
 
 log = logging.getLogger("embersill")
@@ -61,17 +61,17 @@
 
 def read_entry(entry: dict[str, Any]) -> Entry:
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
-    status = STATUSES.get(str(entry["lifecycle"]), Status.DRAINING)  # unknown: no work
+    status = STATUSES.get(str(entry["lifecycle"]), BackendStatus.DRAINING)  # unknown: no work
     rating = float(given(entry, "weight", 1.0))
     if not (isfinite(started) and isfinite(rating)):
         raise ValueError(f"no number: {entry['instanceId']} has weight {rating} and start {started}")
     backend = Backend(
         address=str(entry["instanceId"]), zone=str(given(entry, "zone", "")),
-        kind=str(given(entry, "machineType", "")), cell=int(given(entry, "cell", 0)), status=status,
-        rating=rating, started=started or None,
+        machine_type=str(given(entry, "machineType", "")), cell=int(given(entry, "cell", 0)), status=status,
+        rating=rating, started_at=started or None,
     )
     host_port = entry.get("hostPort")
-    gone = status is not Status.SERVING and not host_port  # nothing is dialled there any more
+    gone = status is not BackendStatus.SERVING and not host_port  # nothing is dialled there any more
     return Entry(backend, ("", 0) if gone else read_address(str(host_port)))
 
 
@@ -82,7 +82,7 @@
         odd = [str(e["instanceId"]) for e in loaded["instances"] if e["lifecycle"] not in STATUSES]
         if odd:
             log.warning("%d entries in an unknown state are set aside: %s", len(odd), " ".join(odd[:5]))
-        told = kind or (ListKind.WHOLE if loaded["reset"] else ListKind.CHANGES)
+        told = kind or (ListKind.FULL if loaded["reset"] else ListKind.CHANGES)
         return Listing(told, int(loaded["generation"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from error
--- a/embersill/records.py
+++ b/embersill/records.py
@@ -17,40 +17,44 @@
 class Job:
     """A request that has no final answer yet or still has attempts in flight.
 
-    arrived: when it arrived, or when its body was complete
-    out: number of attempts in flight
+    arrived_at: when it arrived, or when its body was complete
+    attempts_in_flight: number of attempts in flight
     hold_until: moment until which it may wait for credit
     ended: no final answer is due any more
     streaming: an answer is being streamed to the client
-    settled: its units were corrected to the actual amount
-    trusted: admitted without asking the counter for the customer's level
-    sure: this gateway's slice of the quota covered it when the counter was asked
+    units_corrected: its units were corrected to the actual amount
+    admit_unchecked: admitted without asking the counter for the customer's level
+    covered_by_slice: this gateway's slice of the quota covered it when the counter was asked
     uploading: its body is still being received
     """
 
-    def __init__(self, request: Request, klass: RequestClass, throttle: Throttle, now: float) -> None:
-        self.request, self.klass, self.throttle, self.arrived = request, klass, throttle, now
+    def __init__(self, request: Request, request_class: RequestClass, throttle: Throttle, now: float) -> None:
+        self.request, self.request_class, self.throttle, self.arrived_at = (
+            request, request_class, throttle, now)
         self.attempts: list[Attempt] = []
-        self.out, self.hold_until = 0, now
-        self.ended = self.streaming = self.settled = self.trusted = self.sure = False
+        self.attempts_in_flight, self.hold_until = 0, now
+        self.ended = self.streaming = self.units_corrected = self.admit_unchecked = (
+            self.covered_by_slice) = False
         self.uploading = request.uploading
-        self.counted = 0.0  # units reported to the counter; negative: it must not be reported
-        self.risky: Attempt | None = None  # the first attempt that is not proven not to have run
+        self.reported_units = 0.0  # units reported to the counter; negative: it must not be reported
+        self.first_possibly_run: Attempt | None = None  # the first attempt that is not proven not to have run
 
 
 class Attempt:
     """One send of a request to a backend.
 
-    sent: when it was sent, or when the body of the request was complete
-    weight: seconds that such a request usually takes
-    out: it has not ended yet
-    unrun: its outcome proves that the backend did not run it
+    sent_at: when it was sent, or when the body of the request was complete
+    expected_time: seconds that such a request usually takes
+    in_flight: it has not ended yet
+    never_ran: its outcome proves that the backend did not run it
     overdue: it has no answer after `late_after` seconds
     """
 
-    def __init__(self, server: Server, now: float, weight: float, late_after: float, load: Load) -> None:
-        self.server, self.sent, self.weight = server, now, weight
+    def __init__(
+        self, server: Server, now: float, expected_time: float, late_after: float, load: Load
+    ) -> None:
+        self.server, self.sent_at, self.expected_time = server, now, expected_time
         self.late_after = late_after  # seconds after which a missing answer counts as a sign of overload
         self.load = load  # when it was sent: the load after its own answer would bias which answers are used
-        self.out, self.unrun, self.overdue = True, False, False
-        self.busy = True  # the backend has not started its answer
+        self.in_flight, self.never_ran, self.overdue = True, False, False
+        self.awaiting_response = True  # the backend has not started its answer
--- a/embersill/serving_set.py
+++ b/embersill/serving_set.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from embersill.interface import Scope
+from embersill.interface import DedupScope
 
 if TYPE_CHECKING:
     from embersill.control import Server
@@ -56,10 +56,10 @@
 class ServingSet:
     """The servers that serve and are not taken out by hand."""
 
-    def __init__(self, scopes: frozenset[Scope]) -> None:
+    def __init__(self, scopes: frozenset[DedupScope]) -> None:
         """`scopes`: those in which backends drop repeats, by which servers have to be found."""
         self.scopes = scopes
-        self.by_zone, self.by_cell = Scope.ZONE in scopes, Scope.CELL in scopes
+        self.by_zone, self.by_cell = DedupScope.ZONE in scopes, DedupScope.CELL in scopes
         self.all = IndexedList()
         self.filed: dict[Server, Filed] = {}
         self.added = 0  # servers so far
@@ -88,11 +88,11 @@
             each.positions[server] = len(each.items)
             each.items.append(server)
         rating = max(backend.rating, 0.0)
-        ratings = self.kinds[backend.kind]
+        ratings = self.kinds[backend.machine_type]
         ratings.total += rating
         ratings.machines += 1
         self.added += 1
-        self.filed[server] = Filed(backend.kind, rating, lists, self.added)
+        self.filed[server] = Filed(backend.machine_type, rating, lists, self.added)
         if is_cold:
             self.cold[server] = None
         self.changed = True
@@ -112,11 +112,11 @@
         self.cold.pop(server, None)
         self.changed = True
 
-    def group(self, scope: Scope, key: str | int) -> Sequence[Server]:
+    def group(self, scope: DedupScope, key: str | int) -> Sequence[Server]:
         """The servers of a zone or cell, or all of them."""
-        if scope is Scope.ALL:
+        if scope is DedupScope.ALL:
             return self.all.items
-        found = self.zones.get(str(key)) if scope is Scope.ZONE else self.cells.get(int(key))
+        found = self.zones.get(str(key)) if scope is DedupScope.ZONE else self.cells.get(int(key))
         return found.items if found is not None else ()
 
     def ranked_below(self, width: int, gateways: int) -> list[Server]:
--- a/embersill/settings.py
+++ b/embersill/settings.py
@@ -6,12 +6,13 @@
 from typing import Any
 
 from embersill.interface import (
-    AggregationSettings, Plan, PoolSettings, Repeats, RequestClass, Scope, Settings, Status,
+    AggregationSettings, BackendStatus, DedupScope, Plan, PoolSettings, RepeatPolicy, RequestClass, Settings,
 )
 
-REPEATS = {"repeatable": Repeats.SAFE, "by_key": Repeats.BY_KEY, "once": Repeats.ONCE}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-STATUSES = {"SERVING": Status.SERVING, "DRAINING": Status.DRAINING, "DELETED": Status.GONE}
+REPEATS = {"repeatable": RepeatPolicy.SAFE, "by_key": RepeatPolicy.BY_KEY, "once": RepeatPolicy.ONCE}
+SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+STATUSES = {
+    "SERVING": BackendStatus.SERVING, "DRAINING": BackendStatus.DRAINING, "DELETED": BackendStatus.REMOVED}
 
 
 def take(source: dict[str, Any], key: str) -> Any:
@@ -41,14 +42,14 @@
 
     def request_class(source: dict[str, Any]) -> RequestClass:
         repeats = named(REPEATS, source, "semantics")
-        keyed = repeats is Repeats.BY_KEY  # the group and the window of repeats say nothing of others
+        keyed = repeats is RepeatPolicy.BY_KEY  # the group and the window of repeats say nothing of others
         deadline = seconds(source, "deadline")
         return RequestClass(
-            name=take(source, "name"), repeats=repeats,
-            scope=named(SCOPES, source, "dedup_scope") if keyed else Scope.ALL,
+            name=take(source, "name"), repeat_policy=repeats,
+            dedup_scope=named(SCOPES, source, "dedup_scope") if keyed else DedupScope.ALL,
             memory=seconds(source, "memory_span") if keyed else 0.0,
             aim=min(seconds(source, "aim"), deadline),  # nobody waits any longer
-            deadline=deadline, late_share=number(source, "late_share"), worth=number(source, "credit"),
+            deadline=deadline, late_worth_share=number(source, "late_share"), worth=number(source, "credit"),
             stream=bool(take(source, "stream")),
         )
 
@@ -58,24 +59,25 @@
             name=take(p, "name"), rate=number(p, "units_per_s"), burst=number(p, "peak_units"),
             concurrency=int(number(p, "concurrency")), ceiling_rate=number(p, "hard_rate"),
             ceiling_depth=number(p, "cap_depth"), worth_factor=number(p, "value_factor"),
-            beyond_worth=number(p, "extra_worth"), beyond_cost=number(p, "overrun_cost"),
+            over_quota_worth=number(p, "extra_worth"), over_quota_cost=number(p, "overrun_cost"),
         )
         for p in take(env, "packages")
     )
     counter = bool(take(domain, "counter"))
     return Settings(
-        me=int(number(env, "me")), gateways=int(number(env, "balancers")), classes=classes, plans=plans,
+        gateway_index=int(number(env, "me")), gateways=int(number(env, "balancers")),
+        classes=classes, plans=plans,
         zone=take(env, "zone"), list_pushed=take(env, "membership_mode") == "pushed",
         ask_every=seconds(rules, "ask_every"), counter=counter,
-        counter_patience=seconds(domain, "count_limit") if counter else 0.0,
-        counter_price=number(domain, "count_fee") if counter else 0.0,
+        counter_timeout=seconds(domain, "count_limit") if counter else 0.0,
+        counter_call_cost=number(domain, "count_fee") if counter else 0.0,
         may_cancel=bool(take(limits, "cancel")), may_probe=bool(take(limits, "may_probe")),
-        second_copies=bool(take(limits, "second_copies")), max_attempts=int(number(limits, "max_attempts")),
+        may_hedge=bool(take(limits, "second_copies")), max_attempts=int(number(limits, "max_attempts")),
         max_retry_after=seconds(limits, "max_retry_after"),
         cold_from=number(rules, "cold_from"), warm_within=seconds(rules, "warm_within"),
         fall_multiple=number(rules, "fall_multiple"), overload_for=seconds(rules, "overload_for"),
-        report_fields=tuple(take(take(env, "report"), "fields")), most_units=number(domain, "max_units"),
-        settles=bool(take(domain, "post_paid")),
+        report_fields=tuple(take(take(env, "report"), "fields")), max_units=number(domain, "max_units"),
+        post_paid=bool(take(domain, "post_paid")),
     )
 
 
--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -27,7 +27,7 @@
         "now": gateway.now,
         "gateway": fields_of(gateway, GATEWAY_STATE),
         "throttles": [take_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
-        "servers": [[address, server.backend.started, fields_of(server, SERVER_STATE)]
+        "servers": [[address, server.backend.started_at, fields_of(server, SERVER_STATE)]
                     for address, server in gateway.servers.items() if is_known(server, gateway)],
         "banned": sorted(gateway.banned), "known": sorted(gateway.known), "greet": gateway.greet,
         "usual": [[*key, value] for key, value in gateway.usual.items()], "kinds": gateway.kinds,
@@ -38,7 +38,7 @@
 
 def is_known(server: Server, gateway: Gateway) -> bool:
     """True where something was learned of a backend: of thousands most have not been used."""
-    learned = server.bad or server.flight or server.calls or server.started != server.backend.started
+    learned = server.bad or server.flight or server.calls or server.started != server.backend.started_at
     return bool(learned) or server.limit != gateway.start_limit()
 
 
@@ -71,7 +71,7 @@
     restore_fields(gateway, gateway, by_own_clock(state["gateway"], ahead), "flight")
     for address, listed, figures in state["servers"]:
         server = gateway.servers.get(address)
-        if server is not None and server.backend.started == listed:
+        if server is not None and server.backend.started_at == listed:
             restore_fields(gateway, server, by_own_clock(figures, ahead), "flight")
     for customer, plan, width, figures in state["throttles"]:
         if plan in gateway.plans:
--- a/tests/ceiling_fleet.py
+++ b/tests/ceiling_fleet.py
@@ -15,8 +15,8 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, Alone, Count, Counted, Event, Inherit, Outcome, Plan, Refuse, Request, Send, SetTimer, Settings,
-    TimerDue,
+    Action, AddToCounter, CounterCallEnded, Event, Outcome, Plan, PredecessorEnded, PredecessorState, Refuse,
+    Request, Send, SetTimer, Settings, TimerExpired,
 )
 from embersill.lab.scale.resp import AddCall, CounterModel
 from tests.helpers import SETTINGS, backend, backends, ended
@@ -38,10 +38,10 @@
     running: bool = True
 
 
-Answer = Callable[[Count, float], tuple[Outcome, float, float]]
+Answer = Callable[[AddToCounter, float], tuple[Outcome, float, float]]
 
 
-def prompt(call: Count, now: float) -> tuple[Outcome, float, float]:
+def prompt(call: AddToCounter, now: float) -> tuple[Outcome, float, float]:
     return Outcome.SERVED, COUNTER_ANSWERS, 0.0
 
 
@@ -65,7 +65,7 @@
         """A new process, in place of the one before if there is one."""
         if me in self.processes:
             self.processes[me].running = False
-        made = Gateway(replace(self.settings, me=me), self.order * 1000 + me, self.now + ahead)
+        made = Gateway(replace(self.settings, gateway_index=me), self.order * 1000 + me, self.now + ahead)
         made.handle(backends(backend("a"), backend("b")), self.now + ahead)
         self.processes[me] = Process(me, made, ahead)
         return self.processes[me]
@@ -77,7 +77,7 @@
         del self.processes[me]
         made = self.start(me, ahead)
         told = {**state, "clock_ahead": ahead - before.ahead}
-        self.tell(made, Inherit(told))
+        self.tell(made, PredecessorState(told))
 
         self.lame_ducks[me] += 1
 
@@ -85,7 +85,7 @@
             before.running = False
             self.lame_ducks[me] -= 1
             if made.running:
-                self.tell(made, Alone())
+                self.tell(made, PredecessorEnded())
 
         self.later(both_for, end)
 
@@ -104,8 +104,8 @@
     def act(self, process: Process, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert 0.0 < action.delay < LONGEST_TIMER
-            self.tell_later(action.delay, process, TimerDue(action.key))
-        elif isinstance(action, Count):
+            self.tell_later(action.delay, process, TimerExpired(action.key))
+        elif isinstance(action, AddToCounter):
             self.count(process, action)
         elif isinstance(action, Refuse):
             self.refused += 1
@@ -122,15 +122,15 @@
         place = len(process.gateway.jobs[number].attempts) - 1
         self.tell_later(WORK, process, ended(number, place, action.backend, outcome, elapsed=WORK))
 
-    def count(self, process: Process, call: Count) -> None:
+    def count(self, process: Process, call: AddToCounter) -> None:
         self.calls += 1
         outcome, delay, added_after = self.answer(call, self.now)
-        told = Counted(call.name, outcome, delay, 0.0)
+        told = CounterCallEnded(call.name, outcome, delay, 0.0)
 
         def add() -> None:
             nonlocal told
             self.counter.reserve(call.name)
-            total = self.counter.add(AddCall(call.name, call.amount, call.forget_after))
+            total = self.counter.add(AddCall(call.name, call.amount, call.expire_after))
             told = replace(told, total=float(f"{total:.7g}"))
 
         if outcome in (Outcome.SERVED, Outcome.TIMED_OUT) and added_after < inf:
@@ -180,7 +180,7 @@
     """A whole fleet at 1.5 times the ceiling; the fleet, and the part sent of what the quota leaves."""
     dice = random.Random(f"{width} {units}")
     settings = replace(
-        SETTINGS, gateways=width, plans=(PLAN,), counter=counter, most_units=units, counter_patience=0.03)
+        SETTINGS, gateways=width, plans=(PLAN,), counter=counter, max_units=units, counter_timeout=0.03)
     fleet = CeilingFleet(settings, answer)
     for me in range(width):
         fleet.start(me)
--- a/tests/ceiling_schedules.py
+++ b/tests/ceiling_schedules.py
@@ -14,7 +14,7 @@
 from math import inf
 
 from embersill.ceiling import GRANT_SHARE, LEASED_SHARE, share_ceiling
-from embersill.interface import Count, Outcome, Plan, Settings
+from embersill.interface import AddToCounter, Outcome, Plan, Settings
 from tests.ceiling_fleet import COUNTER_ANSWERS, START, CeilingFleet, lowest_store, slack_of
 from tests.helpers import SETTINGS
 
@@ -51,8 +51,8 @@
     plan = Plan("thin", quota, quota * 2.0, 0, rate, depth, 1.0, 0.0, 1.0)
     counter = dice.random() < 0.8
     settings = replace(
-        SETTINGS, gateways=width, plans=(plan,), most_units=largest, counter=counter,
-        counter_patience=PATIENCE)
+        SETTINGS, gateways=width, plans=(plan,), max_units=largest, counter=counter,
+        counter_timeout=PATIENCE)
     terms = share_ceiling(plan, width, 0, largest, PATIENCE if counter else None).terms
     tolerant = terms is not None and 3.0 * terms.units <= depth
     return Schedule(
@@ -64,7 +64,7 @@
 def loss_spacing(schedule: Schedule) -> float:
     """Seconds between two losses of what the counter knew that the leases' terms bear."""
     plan = schedule.plan
-    share = share_ceiling(plan, schedule.settings.gateways, 0, schedule.settings.most_units, PATIENCE)
+    share = share_ceiling(plan, schedule.settings.gateways, 0, schedule.settings.max_units, PATIENCE)
     assert share.terms is not None
     leased = plan.ceiling_rate * (LEASED_SHARE if share.depth > 0 else 1.0)
     return share.terms.units / ((1.0 - GRANT_SHARE) * leased)
@@ -76,13 +76,13 @@
     def __init__(self, dice: random.Random, part: float, every: float) -> None:
         self.dice, self.part, self.every = dice, part, every
 
-    def answer(self, call: Count, now: float) -> tuple[Outcome, float, float]:
+    def answer(self, call: AddToCounter, now: float) -> tuple[Outcome, float, float]:
         prompt = self.dice.uniform(0.0, COUNTER_ANSWERS)
         if now % self.every > self.part * self.every:
             return Outcome.SERVED, COUNTER_ANSWERS, prompt
         match self.dice.randrange(5):
             case 0:
-                return Outcome.TURNED_AWAY, prompt, inf
+                return Outcome.REJECTED, prompt, inf
             case 1:
                 return Outcome.TIMED_OUT, PATIENCE, inf
             case 2:
@@ -129,12 +129,12 @@
         """Poisson arrivals, some at all gateways in one moment."""
         settings, plan = self.schedule.settings, self.schedule.plan
         moment, number = self.begins, 0
-        pace = self.schedule.load * plan.ceiling_rate / settings.most_units
+        pace = self.schedule.load * plan.ceiling_rate / settings.max_units
         while moment < self.ends:
             together = settings.gateways if self.dice.random() < 0.02 else 1
             for _ in range(together):
                 number += 1
-                units = float(self.dice.randint(1, round(settings.most_units)))
+                units = float(self.dice.randint(1, round(settings.max_units)))
                 me = self.dice.randrange(settings.gateways)
                 self.at(moment, partial(self.fleet.ask, me, number, units, self.dice.uniform(0.2, 4.0)))
             moment += self.dice.expovariate(pace) * together
@@ -151,7 +151,7 @@
     def restart(self, me: int, ahead: float) -> None:
         """A process killed beside its predecessor leaves nobody who knows what that still holds."""
         if self.fleet.lame_ducks.get(me):
-            self.allowed_below = slack_of(self.schedule.plan, self.schedule.settings.most_units)
+            self.allowed_below = slack_of(self.schedule.plan, self.schedule.settings.max_units)
         self.fleet.start(me, ahead)
 
     def plan_losses(self) -> None:
--- a/tests/framing_model.py
+++ b/tests/framing_model.py
@@ -446,14 +446,14 @@
 def expected_outcomes(answer: Message, end: End) -> set[Outcome]:
     """How an attempt may end that got this answer."""
     if answer.state is not State.WHOLE:
-        return {Outcome.BROKEN}
+        return {Outcome.CONNECTION_LOST}
     assert answer.head is not None
-    outcomes = {Outcome.BROKEN} if answer.doubtful or end is End.RESET else set()
+    outcomes = {Outcome.CONNECTION_LOST} if answer.doubtful or end is End.RESET else set()
     rejected = answer.head.values(b"x-rejected") == [b"1"]
     if answer.status == b"200":
         outcomes.add(Outcome.SERVED)
     elif answer.status in (b"503", b"504") and rejected:
-        outcomes.add(Outcome.TURNED_AWAY)
+        outcomes.add(Outcome.REJECTED)
     else:
         outcomes.add(Outcome.ERROR)
     return outcomes
@@ -467,7 +467,7 @@
         assert first.body == answer.body, delivery
     assert (second.answer.outcome, second.body) == (Outcome.SERVED, b"plain"), delivery
     surplus = answer.rest.strip(b"\r\n")  # empty lines before an answer may be passed over
-    if outcome is Outcome.BROKEN or delivery.end is not End.OPEN or surplus or not answer.persistent:
+    if outcome is Outcome.CONNECTION_LOST or delivery.end is not End.OPEN or surplus or not answer.persistent:
         assert second.connection != first.connection, delivery
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,39 +6,20 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action,
-    AttemptEnded,
-    Backend,
-    BackendList,
-    ClientLeft,
-    Count,
-    Counted,
-    Event,
-    Fail,
-    ListKind,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeats,
-    Request,
-    RequestClass,
-    Scope,
-    Send,
-    SetTimer,
-    Settings,
-    Status,
-    TimerDue,
+    Action, AddToCounter, AttemptEnded, Backend, BackendList, BackendStatus, ClientDisconnected,
+    CounterCallEnded, DedupScope, Event, Fail, ListKind, Outcome, Plan, Refuse, RepeatPolicy, Request,
+    RequestClass, Send, SetTimer, Settings, TimerExpired,
 )
 
-SAFE = RequestClass("read", Repeats.SAFE, Scope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
-KEYED = RequestClass("keyed", Repeats.BY_KEY, Scope.CELL, 3.0, 1.0, 4.0, 0.0, 1.0, False)
-ONCE = RequestClass("pay", Repeats.ONCE, Scope.ALL, 5.0, 2.0, 6.0, 0.0, 5.0, False)
+SAFE = RequestClass("read", RepeatPolicy.SAFE, DedupScope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
+KEYED = RequestClass("keyed", RepeatPolicy.BY_KEY, DedupScope.CELL, 3.0, 1.0, 4.0, 0.0, 1.0, False)
+ONCE = RequestClass("pay", RepeatPolicy.ONCE, DedupScope.ALL, 5.0, 2.0, 6.0, 0.0, 5.0, False)
 PLAN = Plan("small", 4.0, 8.0, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
 CAPPED = Plan("capped", 4.0, 8.0, 0, 6.0, 12.0, 1.0, 0.0, 1.0)
 OPEN = Plan("open", 0.0, 0.0, 2, 0.0, 0.0, 1.0, 0.0, 1.0)
 
 SETTINGS = Settings(
-    me=0,
+    gateway_index=0,
     gateways=2,
     classes=(SAFE, KEYED, ONCE),
     plans=(PLAN, CAPPED, OPEN),
@@ -46,11 +27,11 @@
     list_pushed=True,
     ask_every=10.0,
     counter=True,
-    counter_patience=0.05,
-    counter_price=0.02,
+    counter_timeout=0.05,
+    counter_call_cost=0.02,
     may_cancel=True,
     may_probe=True,
-    second_copies=False,
+    may_hedge=False,
     max_attempts=3,
     max_retry_after=1.0,
     cold_from=0.25,
@@ -58,18 +39,18 @@
     fall_multiple=3.0,
     overload_for=1.0,
     report_fields=(),
-    most_units=4.0,
-    settles=False,
+    max_units=4.0,
+    post_paid=False,
 )
 
 
 def backend(
-    name: str, cell: int = 0, status: Status = Status.SERVING, started: float | None = None
+    name: str, cell: int = 0, status: BackendStatus = BackendStatus.SERVING, started: float | None = None
 ) -> Backend:
     return Backend(name, "z", "k", cell, status, 1.0, started)
 
 
-def backends(*entries: Backend, kind: ListKind = ListKind.WHOLE) -> BackendList:
+def backends(*entries: Backend, kind: ListKind = ListKind.FULL) -> BackendList:
     return BackendList(kind, entries)
 
 
@@ -132,9 +113,9 @@
             self.open[event.id] = event
         if isinstance(event, AttemptEnded):
             self.outcomes.setdefault(event.request, {})[event.attempt] = event.outcome
-            if event.over:
+            if event.request_ended:
                 self.open.pop(event.request, None)
-        if isinstance(event, ClientLeft):
+        if isinstance(event, ClientDisconnected):
             self.open.pop(event.request, None)
         actions = self.gateway.handle(event, self.now)
         for action in actions:
@@ -149,21 +130,21 @@
         if isinstance(action, SetTimer):
             assert action.delay > 0
             self.timers.append((self.now + action.delay, action.key))
-        elif isinstance(action, Count):
+        elif isinstance(action, AddToCounter):
             self.counts.append(action.name)
         elif isinstance(action, Send):
             asked = self.open[action.request]  # a send for a request that is over breaks a rule
-            klass, tries = self.classes[asked.klass], self.sent.setdefault(action.request, [])
+            klass, tries = self.classes[asked.request_class], self.sent.setdefault(action.request, [])
             target = self.listed[action.backend]
-            assert target.status is Status.SERVING
-            assert self.settings.second_copies or not self.out(action.request)
+            assert target.status is BackendStatus.SERVING
+            assert self.settings.may_hedge or not self.out(action.request)
             assert len(tries) < self.settings.max_attempts
             risky = self.risky(action.request)
             if risky:
-                assert klass.repeats is not Repeats.ONCE
-                if klass.repeats is Repeats.BY_KEY:
+                assert klass.repeat_policy is not RepeatPolicy.ONCE
+                if klass.repeat_policy is RepeatPolicy.BY_KEY:
                     where, when = tries[risky[0]]
-                    assert self.listed[where].cell == target.cell or klass.scope is Scope.ALL
+                    assert self.listed[where].cell == target.cell or klass.dedup_scope is DedupScope.ALL
                     assert self.now - when < klass.memory
             if not tries:
                 self.first_units.setdefault(asked.customer, []).append((self.now, asked.units))
@@ -171,10 +152,10 @@
         elif isinstance(action, Refuse | Fail):
             asked = self.open.pop(action.request)  # a second answer breaks a rule
             assert self.now <= asked.deadline + 0.008
-            klass = self.classes[asked.klass]
+            klass = self.classes[asked.request_class]
             if isinstance(action, Refuse) and self.risky(action.request):
-                assert klass.repeats is Repeats.SAFE or (
-                    klass.repeats is Repeats.BY_KEY and klass.scope is Scope.ALL
+                assert klass.repeat_policy is RepeatPolicy.SAFE or (
+                    klass.repeat_policy is RepeatPolicy.BY_KEY and klass.dedup_scope is DedupScope.ALL
                 )
             self.answered[action.request] = action
 
@@ -189,7 +170,7 @@
             if due[0] <= late[0]:
                 self.timers.remove(due)
                 self.now = max(self.now, due[0])
-                self.tell(TimerDue(due[1]))
+                self.tell(TimerExpired(due[1]))
             else:
                 self.now = max(self.now, late[0])
                 for n in self.out(late[1]):
@@ -200,4 +181,4 @@
     def answer_counts(self, total: float, outcome: Outcome = Outcome.SERVED) -> None:
         names, self.counts = self.counts, []
         for name in names:
-            self.tell(Counted(name, outcome, 0.001, total))
+            self.tell(CounterCallEnded(name, outcome, 0.001, total))
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -14,7 +14,7 @@
 def plant(name: str) -> None:
     """One fault for each rule."""
     from embersill import control
-    from embersill.interface import Outcome, Status
+    from embersill.interface import Outcome, BackendStatus
     from embersill.net import backends, clients, discovery, driver, pool
     from embersill.serving_set import ServingSet
 
@@ -28,7 +28,7 @@
         take_entry = control.Gateway.take_entry
 
         def keeps_draining(self, backend):
-            if backend.status is Status.SERVING or self.servers.get(backend.address) is None:
+            if backend.status is BackendStatus.SERVING or self.servers.get(backend.address) is None:
                 take_entry(self, backend)
 
         control.Gateway.take_entry = keeps_draining
--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -17,7 +17,7 @@
 from scipy.stats import chisquare
 
 from embersill.__main__ import Program, build_configuration
-from embersill.interface import AggregationSettings, Counted, ListKind, Outcome, Status
+from embersill.interface import AggregationSettings, CounterCallEnded, ListKind, Outcome, BackendStatus
 from embersill.lab.peers import HOST
 from embersill.net.aggregation import AggregatorRouter
 from embersill.net.counter import Counter
@@ -31,10 +31,10 @@
 UNLIKELY = 0.001  # chance below which a spread is not taken for an even one
 CUSTOMERS = [f"{number:016x}" for number in range(6000)]
 NOWHERE = (HOST, 9)  # of a list service that nobody asks in the tests without sockets
-Told = Callable[[Counted], None]
+Told = Callable[[CounterCallEnded], None]
 
 
-def listing(names: list[str], kind: ListKind = ListKind.WHOLE) -> Listing:
+def listing(names: list[str], kind: ListKind = ListKind.FULL) -> Listing:
     """A list of serving members; their addresses are never dialled."""
     entries = [entry(name, f"{HOST}:{1000 + place}") for place, name in enumerate(names)]
     return read_listing({"generation": 1, "reset": True, "instances": entries}, kind)
@@ -68,7 +68,7 @@
         self.patience = patience
         self.peers = {name: CounterPeer() for name in names(count)}
         self.directory = DiscoveryPeer()
-        self.told: list[Counted] = []
+        self.told: list[CounterCallEnded] = []
         self.more = asyncio.Condition()
         self.router: AggregatorRouter
 
@@ -238,7 +238,7 @@
 
 def test_before_the_first_list_calls_end_at_once() -> None:
     async def test() -> None:
-        told: list[Counted] = []
+        told: list[CounterCallEnded] = []
         router = AggregatorRouter(lambda: 0.0, [NOWHERE], PATIENCE, 1.0, told.append, 64)
         router.add("c1.7", 1.0, 60.0)
         assert [counted.outcome for counted in told] == [Outcome.NO_CONNECTION]
@@ -406,7 +406,8 @@
         router = AggregatorRouter(lambda: 0.0, [NOWHERE], PATIENCE, 1.0, lambda counted: None, 64)
         told = [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2", "DRAINING"), entry("c", "", "DELETED")]
         made = read_listing({"generation": 1, "reset": True, "instances": told})
-        assert [e.backend.status for e in made.entries] == [Status.SERVING, Status.DRAINING, Status.GONE]
+        assert [e.backend.status for e in made.entries] == [
+            BackendStatus.SERVING, BackendStatus.DRAINING, BackendStatus.REMOVED]
         router.members_told(made)
         assert list(router.members) == ["a"]
         router.close()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -101,16 +101,16 @@
     (message(204), Outcome.ERROR),
     (message(503), Outcome.ERROR),
     (message(500, b"", "X-Rejected: 1"), Outcome.ERROR),
-    (message(503, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
-    (message(504, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
+    (message(503, b"", "X-Rejected: 1"), Outcome.REJECTED),
+    (message(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
     (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
-    (b"rubbish\r\n\r\n", Outcome.BROKEN),
+    (b"rubbish\r\n\r\n", Outcome.CONNECTION_LOST),
     (message(200, b"x" * WHOLE), Outcome.SERVED),
     (b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Sum: 1\r\n\r\n", Outcome.SERVED),
     (message(500, b"x" * (WHOLE + 1)), Outcome.ERROR),
-    (message(503, b"x" * (WHOLE + 1), "X-Rejected: 1"), Outcome.TURNED_AWAY),
-    (message(200, b"x", "Content-Length: 7"), Outcome.BROKEN),
-    (message(200, b"x", "Transfer-Encoding: chunked"), Outcome.BROKEN),
+    (message(503, b"x" * (WHOLE + 1), "X-Rejected: 1"), Outcome.REJECTED),
+    (message(200, b"x", "Content-Length: 7"), Outcome.CONNECTION_LOST),
+    (message(200, b"x", "Transfer-Encoding: chunked"), Outcome.CONNECTION_LOST),
 ])
 def test_an_answer_tells_whether_the_attempt_ran(text: bytes, outcome: Outcome) -> None:
     async def test() -> None:
@@ -158,7 +158,7 @@
 
     async def test() -> None:
         async with sending(pads) as (sender, peer):
-            assert await sender.outcome(2.0) is Outcome.BROKEN
+            assert await sender.outcome(2.0) is Outcome.CONNECTION_LOST
 
     run(test)
 
@@ -179,7 +179,7 @@
 def test_a_connection_that_breaks_after_the_write_may_have_run(step: Step) -> None:
     async def test() -> None:
         async with sending(step) as (sender, _):
-            assert await sender.outcome() is Outcome.BROKEN
+            assert await sender.outcome() is Outcome.CONNECTION_LOST
 
     run(test)
 
@@ -188,7 +188,7 @@
     async def test() -> None:
         async with sending(says(message(200)), cuts) as (sender, peer):
             assert await sender.outcome() is Outcome.SERVED
-            assert await sender.outcome() is Outcome.BROKEN
+            assert await sender.outcome() is Outcome.CONNECTION_LOST
             assert len(peer.seen) == 2 and peer.connections == 1
 
     run(test)
@@ -343,7 +343,7 @@
             sender.set_clock(lambda: now)
             assert await sender.outcome() is Outcome.SERVED
             now = 1.0
-            assert await sender.outcome() is Outcome.BROKEN  # it was dead by then
+            assert await sender.outcome() is Outcome.CONNECTION_LOST  # it was dead by then
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
             now = 1.4
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 2  # borne
@@ -367,7 +367,7 @@
             now = 2.0
             for writer in list(peer.open):
                 writer.transport.abort()
-            assert (await ended).outcome is Outcome.BROKEN
+            assert (await ended).outcome is Outcome.CONNECTION_LOST
             assert sender.pool.places["b"].borne == float("inf")
 
     run(test)
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -22,8 +22,8 @@
 )
 from embersill.control import Gateway, Throttle
 from embersill.interface import (
-    Action, AggregationSettings, Count, Counted, Event, Inherit, Outcome, Plan, Refuse, Request, Send,
-    SetTimer, Settle, TimerDue, Tuned,
+    Action, AddToCounter, AggregationSettings, CounterCallEnded, Event, FlushCounts, Outcome, Plan,
+    PredecessorState, Refuse, Request, Send, SetTimer, SettingsChanged, TimerExpired,
 )
 from tests.helpers import PLAN, SETTINGS, backend, backends, ended, request
 
@@ -32,10 +32,10 @@
 SMALL = Plan("small", 4.0, 8.0, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
 BUDGET = AggregationSettings("", 40.0, 80.0)
 FLEET = 1100  # gateways
-Answer = Callable[[Count, float], Outcome]
+Answer = Callable[[AddToCounter, float], Outcome]
 
 
-def served(call: Count, now: float) -> Outcome:
+def served(call: AddToCounter, now: float) -> Outcome:
     return Outcome.SERVED
 
 
@@ -50,13 +50,13 @@
         made = replace(
             SETTINGS, gateways=width, plans=(plan,), aggregation=budget, max_retry_after=0.0)
         self.now, self.number, self.order = START, 0, 0
-        self.gateways = [Gateway(replace(made, me=me), me, START) for me in range(gateways)]
+        self.gateways = [Gateway(replace(made, gateway_index=me), me, START) for me in range(gateways)]
         for gateway in self.gateways:
             gateway.handle(backends(*(backend(f"b{n}", n % 2) for n in range(200))), START)
         self.answer, self.plan, self.width, self.billed = answer, plan, width, billed
         self.due: list[tuple[float, int, int, Event]] = []
         self.sums: defaultdict[str, float] = defaultdict(float)  # what the counter has
-        self.calls: list[tuple[float, int, Count]] = []
+        self.calls: list[tuple[float, int, AddToCounter]] = []
         self.told_last: dict[tuple[int, str], float] = {}
         self.sent: defaultdict[str, float] = defaultdict(float)  # units sent on, by customer
         self.sent_at: defaultdict[str, list[float]] = defaultdict(list)  # when requests were
@@ -87,7 +87,7 @@
 
     def act(self, gateway: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.later(action.delay, gateway, TimerDue(action.key))
+            self.later(action.delay, gateway, TimerExpired(action.key))
         elif isinstance(action, Send):
             asked = self.asked[action.request]
             used = self.billed * asked.units
@@ -97,32 +97,32 @@
             self.later(SEND_TAKES, gateway, answer)
         elif isinstance(action, Refuse):
             self.refused[self.asked[action.request].customer] += 1
-        elif isinstance(action, Count):
+        elif isinstance(action, AddToCounter):
             self.count(gateway, action)
 
-    def count(self, gateway: int, action: Count) -> None:
+    def count(self, gateway: int, action: AddToCounter) -> None:
         self.calls.append((self.now, gateway, action))
         outcome = self.answer(action, self.now)
         if outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             self.sums[action.name] += action.amount
-        takes = SETTINGS.counter_patience if outcome is Outcome.TIMED_OUT else CALL_TAKES
+        takes = SETTINGS.counter_timeout if outcome is Outcome.TIMED_OUT else CALL_TAKES
         total = self.sums[action.name] if outcome is Outcome.SERVED else 0.0
         # calls for one name are told of in the order they were made, by the counter's client and the router
         due = max(self.now + takes, self.told_last.get((gateway, action.name), 0.0))
         self.told_last[gateway, action.name] = due
-        self.later(due - self.now, gateway, Counted(action.name, outcome, due - self.now, total))
+        self.later(due - self.now, gateway, CounterCallEnded(action.name, outcome, due - self.now, total))
 
     def run_to(self, until: float) -> None:
         while self.due and self.due[0][0] <= until:
             self.now, _, gateway, event = heapq.heappop(self.due)
-            self.timers += isinstance(event, TimerDue) and event.key.startswith("c")
+            self.timers += isinstance(event, TimerExpired) and event.key.startswith("c")
             self.tell(gateway, event)
         self.now = until
 
     def settle(self) -> None:
         self.run_to(self.now + 1.0)
         for gateway in range(len(self.gateways)):
-            self.tell(gateway, Settle())
+            self.tell(gateway, FlushCounts())
         self.run_to(self.now + 1.0)
 
     def told(self) -> dict[str, float]:
@@ -243,7 +243,7 @@
 
 
 def noted(budget: CallBudget, throttle: Throttle, total: float, spare: float, now: float) -> float:
-    return budget.note(throttle, Counted("c.1", Outcome.SERVED, 0.001, total), 0.0, spare, now) - now
+    return budget.note(throttle, CounterCallEnded("c.1", Outcome.SERVED, 0.001, total), 0.0, spare, now) - now
 
 
 def test_a_reading_is_trusted_no_longer_than_use_with_its_safety_factor_allows() -> None:
@@ -271,7 +271,7 @@
 def test_corrections_are_not_taken_for_use() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
     noted(budget, throttle, 1.0, 0.0, START)
-    event = Counted("c.1", Outcome.SERVED, 0.001, 101.0)
+    event = CounterCallEnded("c.1", Outcome.SERVED, 0.001, 101.0)
     assert budget.note(throttle, event, 100.0, 0.0, START + 1.0) - START - 1.0 == LONGEST_TRUST
 
 
@@ -328,7 +328,7 @@
     st.tuples(st.sampled_from(["request", "wait", "request", "settled"]), st.integers(0, 4),
               st.floats(0.01, 0.8)),
     min_size=1, max_size=80)
-LOSSES = st.lists(st.sampled_from([Outcome.SERVED, Outcome.SERVED, Outcome.TIMED_OUT, Outcome.TURNED_AWAY,
+LOSSES = st.lists(st.sampled_from([Outcome.SERVED, Outcome.SERVED, Outcome.TIMED_OUT, Outcome.REJECTED,
                                    Outcome.NO_CONNECTION, Outcome.ERROR]), min_size=1, max_size=20)
 ROOMY = Plan("small", 20.0, 4000.0, 0, 0.0, 0.0, 1.0, 0.0, 1.0)  # no sum is put right in its first seconds
 
@@ -338,7 +338,7 @@
 ) -> Play:
     calls = 0
 
-    def lossy(call: Count, now: float) -> Outcome:
+    def lossy(call: AddToCounter, now: float) -> Outcome:
         nonlocal calls
         calls += 1
         return losses[calls % len(losses)]
@@ -352,7 +352,7 @@
         elif what == "request":
             play.request(f"c{number}", units=round(0.5 + seconds, 2), gateway=number % 2)
         else:
-            play.tell(number % 2, Settle())
+            play.tell(number % 2, FlushCounts())
     play.run_to(play.now + 0.5)
     play.answer = served
     play.settle()
@@ -389,7 +389,7 @@
 
 @pytest.mark.parametrize("billed", [0.0, 0.5, 3.0])
 def test_untold_units_of_customers_who_never_return_are_told_without_an_end(billed: float) -> None:
-    outcomes = iter([Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.SERVED, Outcome.ERROR])
+    outcomes = iter([Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.SERVED, Outcome.ERROR])
     play = Play(BUDGET, plan=ROOMY, billed=billed, answer=lambda call, now: next(outcomes, Outcome.SERVED))
     for number in range(60):
         play.request(f"c{number}")
@@ -401,11 +401,11 @@
     play = Play(BUDGET)
     gateway = play.gateways[0]
     before = gateway.budget
-    play.tell(0, Tuned(gateway.settings.pool, BUDGET))
+    play.tell(0, SettingsChanged(gateway.settings.pool, BUDGET))
     assert gateway.budget is before is not None
     play.request("c")
     assert not play.calls
-    play.tell(0, Tuned(gateway.settings.pool, None))
+    play.tell(0, SettingsChanged(gateway.settings.pool, None))
     assert gateway.budget is None
     play.request("d")
     assert [call.name.partition(".")[0] for _, _, call in play.calls] == ["d"]
@@ -417,7 +417,7 @@
     play = Play(BUDGET, gateways=2, plan=replace(SMALL, burst=40.0))  # so that no sum has to be put right
     play.request("c")
     state = json.loads(json.dumps(play.gateways[0].hand_over(play.now)))
-    play.tell(1, Inherit(state))
+    play.tell(1, PredecessorState(state))
     play.settle()
     assert play.told() == {"c": 1.0} and {caller for _, caller, _ in play.calls} == {1}
 
@@ -456,7 +456,7 @@
 
 
 def test_one_failed_call_of_several_aggregators_stops_no_other() -> None:
-    def one_away(call: Count, now: float) -> Outcome:
+    def one_away(call: AddToCounter, now: float) -> Outcome:
         return Outcome.NO_CONNECTION if "bad" in call.name else Outcome.SERVED
 
     play = Play(BUDGET, answer=one_away)
@@ -471,6 +471,7 @@
 
 
 RECORDED = pathlib.Path(__file__).parent / "counting.reply.txt"
+RECORDED_NAMES: dict[type, str] = {AddToCounter: "Count"}  # names of actions in RECORDED, where they differ
 
 
 def played_without_budget() -> str:
@@ -479,8 +480,8 @@
     for width, plan, many in ((FLEET, SMALL, 40), (2, PLAN, 6), (14, replace(SMALL, burst=20.0), 10)):
         chance = random.Random(width)
 
-        def lossy(call: Count, now: float, chance: random.Random = chance) -> Outcome:
-            return chance.choice([Outcome.SERVED] * 9 + [Outcome.TIMED_OUT, Outcome.TURNED_AWAY])
+        def lossy(call: AddToCounter, now: float, chance: random.Random = chance) -> Outcome:
+            return chance.choice([Outcome.SERVED] * 9 + [Outcome.TIMED_OUT, Outcome.REJECTED])
 
         play = Play(None, gateways=2, width=width, plan=plan, answer=lossy)
         digest = hashlib.blake2b(digest_size=16)
@@ -503,7 +504,7 @@
     """An action as text, with its numbers to six digits; without what is not compared, as it is for logs."""
     values = [getattr(action, field.name) for field in fields(action) if field.compare]
     texts = [f"{value:.6g}" if isinstance(value, float) else str(value) for value in values]
-    return " ".join([type(action).__name__, *texts])
+    return " ".join([RECORDED_NAMES.get(type(action), type(action).__name__), *texts])
 
 
 def test_without_the_part_all_actions_are_as_they_were(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_ceiling_fleet.py
+++ b/tests/test_ceiling_fleet.py
@@ -18,7 +18,7 @@
 
 from embersill.ceiling import CeilingLease, CeilingShare, LeaseTerms, share_ceiling
 from embersill.control import Throttle
-from embersill.interface import Count, Outcome
+from embersill.interface import AddToCounter, Outcome
 from tests.ceiling_fleet import PLAN, START, CeilingFleet, Process, lowest_store, played_load, slack_of
 from tests.ceiling_schedules import SchedulePlay, broken_among, draw_schedule
 from tests.helpers import SETTINGS
@@ -51,7 +51,7 @@
 def test_large_requests_do_not_starve_behind_small_ones() -> None:
     """Half of the units are asked for by each kind, well over the ceiling; the large get a fair part."""
     plan = replace(PLAN, rate=0.0, burst=0.0)
-    settings = replace(SETTINGS, gateways=150, plans=(plan,), most_units=4.0, counter_patience=0.03)
+    settings = replace(SETTINGS, gateways=150, plans=(plan,), max_units=4.0, counter_timeout=0.03)
     fleet = CeilingFleet(settings)
     for me in range(150):
         fleet.start(me)
@@ -121,7 +121,7 @@
 
 def test_the_drawn_schedules_hold_the_hard_cases() -> None:
     drawn = [draw_schedule(seed) for seed in range(1600)]
-    leased = [share_ceiling(s.plan, s.settings.gateways, 0, s.settings.most_units, 0.03).terms for s in drawn]
+    leased = [share_ceiling(s.plan, s.settings.gateways, 0, s.settings.max_units, 0.03).terms for s in drawn]
     assert sum(terms is not None for terms in leased) > 400
     assert sum(not s.settings.counter for s in drawn) > 100
     assert sum(s.losses for s in drawn) > 100
@@ -194,7 +194,7 @@
 
 
 def test_a_silent_counter_refuses_at_once_but_for_the_first_gateway() -> None:
-    def silent(call: Count, now: float) -> tuple[Outcome, float, float]:
+    def silent(call: AddToCounter, now: float) -> tuple[Outcome, float, float]:
         return Outcome.TIMED_OUT, 0.03, inf
 
     fleet, part = played_load(150, 1.0, counter=True, answer=silent)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -16,8 +16,8 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    AttemptEnded, Event, ListKind, Outcome, Repeats, Request, RequestClass, Restore, Scope, Send, SetTimer,
-    Settings, Suspend, TimerDue,
+    AttemptEnded, DedupScope, Event, ListKind, Outcome, RepeatPolicy, Request, RequestClass, Restore, Send,
+    SetTimer, Settings, Suspend, TimerExpired,
 )
 from tests.helpers import OPEN, SETTINGS, backend, backends
 
@@ -25,7 +25,7 @@
 USED = 0.6  # of that is asked for
 STARTS, ENDS = 104.0, 109.0  # when the cold ones start, and when the test does
 FREE = replace(OPEN, name="free", concurrency=0)  # no quota binds
-READ = RequestClass("read", Repeats.SAFE, Scope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
+READ = RequestClass("read", RepeatPolicy.SAFE, DedupScope.ALL, 5.0, 1.0, 4.0, 0.0, 1.0, False)
 SITE = replace(
     SETTINGS, classes=(READ,), plans=(FREE,), counter=False, max_attempts=4, cold_from=0.16, warm_within=18.0,
     fall_multiple=2.0, overload_for=2.0)
@@ -52,7 +52,7 @@
         self.share = [s / sum(share) for s in share]  # a few gateways get several times the mean
 
     def node(self, me: int, now: float = 100.0) -> Gateway:
-        return Gateway(replace(self.settings, me=me), me + 7, now)
+        return Gateway(replace(self.settings, gateway_index=me), me + 7, now)
 
     def later(self, when: float, made: Gateway, event: Event) -> None:
         self.numbers += 1
@@ -69,7 +69,7 @@
     def list(self, cold: list[str], warm: list[str]) -> None:
         for made in self.nodes:
             whole = [backend(a) for a in warm] + [backend(a, started=STARTS) for a in cold]
-            made.handle(backends(*whole, kind=ListKind.WHOLE), STARTS)
+            made.handle(backends(*whole, kind=ListKind.FULL), STARTS)
 
     def play(self, until: float) -> None:
         while self.events and self.events[0][0] < until:
@@ -77,7 +77,7 @@
             made = self.nodes[me] if me >= 0 else made  # a client's request finds who is there now
             for action in made.handle(event, now):
                 if isinstance(action, SetTimer):
-                    self.later(now + action.delay, made, TimerDue(action.key))
+                    self.later(now + action.delay, made, TimerExpired(action.key))
                 elif isinstance(action, Send):
                     self.sent.setdefault(action.backend, []).append(now)
                     outcome, after = self.ends.get(action.backend, served)(self.dice)
@@ -115,9 +115,9 @@
 FAST: dict[str, Ends] = {
     "short work": (Outcome.SERVED, 0.001),
     "errors": (Outcome.ERROR, 0.001),
-    "resets": (Outcome.BROKEN, 0.001),
+    "resets": (Outcome.CONNECTION_LOST, 0.001),
     "no connection": (Outcome.NO_CONNECTION, 0.001),
-    "turned away": (Outcome.TURNED_AWAY, 0.001),
+    "turned away": (Outcome.REJECTED, 0.001),
     "work": (Outcome.SERVED, 0.2),
     "slow work": (Outcome.SERVED, 1.5),
     "silence": (Outcome.TIMED_OUT, 0.4),
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,8 +8,8 @@
 
 from embersill.control import CROWDED_IDLE, LINKS_MORE, Gateway
 from embersill.interface import (
-    Action, ListKind, OpenFailed, Outcome, PoolSettings, Request, Send, SetTimer, Size, Status, TimerDue,
-    Tuned, Warm,
+    Action, BackendStatus, ConnectFailed, ListKind, Outcome, PoolSettings, Preconnect, Request, Send,
+    SetPoolSize, SetTimer, SettingsChanged, TimerExpired,
 )
 from embersill.settings import read_pool
 from tests.helpers import backend, backends, ended, gateway, request
@@ -21,8 +21,8 @@
     return [a for a in actions if isinstance(a, Send)]
 
 
-def sizes(actions: list[Action]) -> list[Size]:
-    return [a for a in actions if isinstance(a, Size)]
+def sizes(actions: list[Action]) -> list[SetPoolSize]:
+    return [a for a in actions if isinstance(a, SetPoolSize)]
 
 
 def asked(number: int, now: float) -> Request:
@@ -39,14 +39,14 @@
 def full(made: Gateway, now: float) -> list[Action]:
     """One is out at the one backend, and the next finds that it takes no more."""
     assert [ask(made, n, now) for n in (1, 2)] == ["a", "a"]
-    told = made.handle(OpenFailed("a", 1), now)
+    told = made.handle(ConnectFailed("a", 1), now)
     made.handle(ended(2, 0, "a", Outcome.NO_CONNECTION), now)
     return told
 
 
 def test_a_full_table_lowers_what_is_sent_at_once_and_holds_nothing_against_the_backend() -> None:
     made = gateway(listed=backends(backend("a")))
-    assert sizes(full(made, 100.0)) == [Size("a", float("inf"), 1.0, CROWDED_IDLE)]
+    assert sizes(full(made, 100.0)) == [SetPoolSize("a", float("inf"), 1.0, CROWDED_IDLE)]
     assert made.servers["a"].bad == 0 and not made.down()
     assert ask(made, 3, 100.2) == ""  # one is out, and no more is taken
     made.handle(ended(1, 0, "a", Outcome.SERVED), 100.3)
@@ -70,9 +70,9 @@
 def test_two_hundred_gateways_raise_a_learned_bound_by_two_a_second_together() -> None:
     raised = 0
     for me in range(200):
-        made = gateway(listed=backends(backend("a")), me=me, gateways=200)
+        made = gateway(listed=backends(backend("a")), gateway_index=me, gateways=200)
         made.random.seed(me)
-        made.handle(OpenFailed("a", 3), 100.0)
+        made.handle(ConnectFailed("a", 3), 100.0)
         for step in range(150):
             now = 100.0 + step * 2.0
             if ask(made, step, now):
@@ -82,7 +82,7 @@
 
 def test_idle_connections_are_kept_for_the_load_and_chance_above_it() -> None:
     made = gateway(listed=backends(backend("a")), pool=ON)
-    told: list[Size] = []
+    told: list[SetPoolSize] = []
     number = 0
     for step in range(400):  # three out at any time
         now = 100.0 + step / 10
@@ -90,7 +90,7 @@
         told += sizes(made.handle(asked(number, now), now))
         if step >= 3:
             told += sizes(made.handle(ended(number - 3, 0, "a", Outcome.SERVED), now))
-    assert [s.keep for s in told] == sorted({s.keep for s in told}) and 5 <= told[-1].keep <= 8
+    assert [s.max_idle for s in told] == sorted({s.max_idle for s in told}) and 5 <= told[-1].max_idle <= 8
     for left in range(number - 2, number + 1):
         made.handle(ended(left, 0, "a", Outcome.SERVED), 141.0)
     assert ask(made, 1000, 200.0) == "a"  # after a quiet minute
@@ -101,20 +101,21 @@
     made = gateway(listed=backends(backend("a")))
     actions = made.handle(request(1), 100.0) + made.handle(ended(1, 0, "a", Outcome.SERVED), 100.1)
     assert not sizes(actions)
-    made.handle(Tuned(ON), 100.2)
+    made.handle(SettingsChanged(ON), 100.2)
     assert sizes(made.handle(request(2), 100.2))
 
 
 def test_a_backend_that_begins_to_serve_is_warmed_where_it_will_be_used() -> None:
     made = gateway(pool=ON)
-    actions = made.handle(backends(backend("new"), backend("leaving", status=Status.DRAINING),
+    actions = made.handle(backends(backend("new"), backend("leaving", status=BackendStatus.DRAINING),
                                    kind=ListKind.CHANGES), 100.0)
     timers = [a for a in actions if isinstance(a, SetTimer) and a.key.startswith("w")]
     assert {t.key for t in timers} == {"wnew", "wleaving"} and all(0 < t.delay <= 1 for t in timers)
-    assert made.handle(TimerDue("wnew"), 101.0) == [Warm("new", 1)]
-    assert not made.handle(TimerDue("wleaving"), 101.0) and not made.handle(TimerDue("wnobody"), 101.0)
+    assert made.handle(TimerExpired("wnew"), 101.0) == [Preconnect("new", 1)]
+    assert not made.handle(TimerExpired("wleaving"), 101.0) and not made.handle(
+        TimerExpired("wnobody"), 101.0)
     far = gateway(pool=ON, gateways=200, listed=backends(*(backend(f"b{n}") for n in range(200))))
-    warmed = sum(bool(far.handle(TimerDue(f"wb{n}"), 101.0)) for n in range(200))
+    warmed = sum(bool(far.handle(TimerExpired(f"wb{n}"), 101.0)) for n in range(200))
     assert 0 < warmed < 40  # its own part of them
 
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.interface import Counted, Outcome
+from embersill.interface import CounterCallEnded, Outcome
 from embersill.lab.peers import HOST
 from embersill.net.counter import IDLE_LIMIT, SILENT_AFTER, Counter
 from tests.bed import no_descriptors, run
@@ -19,7 +19,7 @@
     """What the counter told of its calls, in order, and a clock that the test moves."""
 
     def __init__(self) -> None:
-        self.events: asyncio.Queue[Counted] = asyncio.Queue()
+        self.events: asyncio.Queue[CounterCallEnded] = asyncio.Queue()
         self.now = 100.0
 
     async def next(self) -> tuple[str, Outcome, float]:
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(("reply", "outcome"), [
-    (b"-BUSY too many\r\n", Outcome.TURNED_AWAY),
+    (b"-BUSY too many\r\n", Outcome.REJECTED),
     (b"-ERR no such call\r\n", Outcome.ERROR),
     (b"+OK\r\n", Outcome.TIMED_OUT),
     (b"rubbish\r\n", Outcome.TIMED_OUT),
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 import pytest
 
 from embersill.__main__ import Program, build_configuration
-from embersill.interface import ListKind, Status
+from embersill.interface import ListKind, BackendStatus
 from embersill.lab.peers import message
 from embersill.net.discovery import EMPTY_AGAIN, Discovery, NoRoom
 from embersill.net.listing import BadList, Listing, read_address, read_addresses, read_listing
@@ -35,7 +35,7 @@
         await peer.until_asked(2)
         await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
         second = await told.get()
-        assert second.kind is ListKind.CHANGES and second.entries[0].backend.status is Status.DRAINING
+        assert second.kind is ListKind.CHANGES and second.entries[0].backend.status is BackendStatus.DRAINING
         await peer.until_asked(3)
         assert "since=2&" in peer.asked[2] and peer.connections == 1
         task.cancel()
@@ -114,7 +114,7 @@
         assert listing.whole and "since" not in peer.asked[2]
         await peer.until_asked(4)
         await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
-        assert (await told.get()).entries[0].backend.status is Status.GONE
+        assert (await told.get()).entries[0].backend.status is BackendStatus.REMOVED
         task.cancel()
         await peer.stop()
 
@@ -142,7 +142,7 @@
         assert "since=1&" in peer.asked[2]
         await told.get()
         await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
-        assert (await told.get()).entries[0].backend.status is Status.GONE
+        assert (await told.get()).entries[0].backend.status is BackendStatus.REMOVED
         task.cancel()
         await peer.stop()
 
@@ -309,7 +309,7 @@
         await second.until_asked(1)
         assert "since=1&" in second.asked[0] and not (await told.get()).entries
         await second.change({"instanceId": "a", "lifecycle": "DELETED"})
-        assert (await told.get()).entries[0].backend.status is Status.GONE
+        assert (await told.get()).entries[0].backend.status is BackendStatus.REMOVED
         task.cancel()
         await second.stop()
 
@@ -373,7 +373,7 @@
             writer.close()
         await second.until_asked(1)
         told_next = await told.get()
-        assert [e.backend.status for e in told_next.entries] in ([], [Status.SERVING])
+        assert [e.backend.status for e in told_next.entries] in ([], [BackendStatus.SERVING])
         task.cancel()
         await first.stop()
         await second.stop()
@@ -467,7 +467,8 @@
     entries = [peer.entry("a", "127.0.0.1:9"), peer.entry("b", "127.0.0.1:9", "RESTING"),
                {"instanceId": "c", "lifecycle": "ODD"}]
     listing = read_listing({"generation": 1, "reset": True, "instances": entries})
-    assert [e.backend.status for e in listing.entries] == [Status.SERVING, Status.DRAINING, Status.DRAINING]
+    assert [e.backend.status for e in listing.entries] == [
+        BackendStatus.SERVING, BackendStatus.DRAINING, BackendStatus.DRAINING]
     assert caplog.messages == ["2 entries in an unknown state are set aside: b c"]
 
 
--- a/tests/test_framing_answers.py
+++ b/tests/test_framing_answers.py
@@ -246,7 +246,7 @@
 @any_good
 def test_an_answer_cut_at_any_byte_is_broken(wire: bytes, end: End) -> None:
     ends = ask_all(cut(wire, end))
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("end", CUTS)
@@ -254,7 +254,7 @@
 def test_an_answer_of_doubtful_length_cut_at_any_byte_is_broken(lines: bytes, end: End) -> None:
     wire = answer(lines)
     ends = ask_all(cut(wire, end))
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
     ask_all([whole(wire), byte_by_byte(wire), whole(wire, end), whole(wire + wire)])
 
 
@@ -264,7 +264,7 @@
     wires = [answer(lines, body) for body in (BODY, b"", CHUNKS, BODY + message(200, b"second"))]
     deliveries = [way(wire, end) for wire in wires for way in (whole, byte_by_byte)]
     deliveries += [whole(answer(lines, BODY, status), end) for status in (500, 503)]
-    assert first_outcomes(ask_all(deliveries)) == {Outcome.BROKEN}
+    assert first_outcomes(ask_all(deliveries)) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("end", CUTS)
@@ -272,7 +272,7 @@
 def test_an_answer_of_malformed_framing_cut_at_any_byte_is_broken(lines: bytes, end: End) -> None:
     wire = answer(lines, CHUNKS)
     ends = ask_all(cut(wire, end))
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("end", list(End))
@@ -280,7 +280,7 @@
 def test_an_answer_in_another_coding_is_broken(lines: bytes, end: End) -> None:
     wires = [answer(lines), answer(lines, b""), answer(lines, CHUNKS), answer(lines, CHUNKS) * 2]
     deliveries = [way(wire, end) for wire in wires for way in (whole, byte_by_byte)]
-    assert first_outcomes(ask_all(deliveries)) == {Outcome.BROKEN}
+    assert first_outcomes(ask_all(deliveries)) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("end", list(End))
@@ -295,7 +295,7 @@
 def test_a_length_beside_chunks_cut_at_any_byte_is_broken(lines: bytes, end: End) -> None:
     wire = answer(lines, CHUNKS)
     ends = ask_all(cut(wire, end))
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("end", CUTS)
@@ -303,7 +303,7 @@
 def test_damaged_chunks_are_broken(body: bytes, end: End) -> None:
     wires = [answer(lines, body) for lines in CHUNKED.values()]
     ends = ask_all([way(wire, end) for wire in wires for way in (whole, byte_by_byte)])
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("lines", named(CHUNKED))
@@ -336,7 +336,7 @@
     ends = ask_all([whole(wire[:place], end) for place in range(len(wire) + 1)])
     for place, (first, _) in enumerate(ends):
         served = end is End.FIN and place >= start
-        assert first.answer.outcome is (Outcome.SERVED if served else Outcome.BROKEN)
+        assert first.answer.outcome is (Outcome.SERVED if served else Outcome.CONNECTION_LOST)
 
 
 # what stands round an answer
@@ -386,7 +386,7 @@
     interims = [b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 X\r\nContent-Length: 0 \r\n\r\n",
                 b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\nabc"]
     ends = ask_all([whole(interim, end) for interim in interims])
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("status", [204, 304])
@@ -411,7 +411,7 @@
 @pytest.mark.parametrize("end", CUTS)
 def test_a_malformed_head_cut_short_is_never_a_whole_answer(wire: bytes, end: End) -> None:
     ends = ask_all([whole(wire[:place], end) for place in range(len(wire))])
-    assert first_outcomes(ends) == {Outcome.BROKEN}
+    assert first_outcomes(ends) == {Outcome.CONNECTION_LOST}
 
 
 # what else an answer's fields tell
@@ -427,18 +427,18 @@
         for line in ONES:
             turned = wire.replace(b"200 X\r\n", b"%d X\r\n%b\r\n" % (status, line))
             turns.append(turned)
-    assert first_outcomes(ask_all([whole(turned) for turned in turns])) == {Outcome.TURNED_AWAY}
-    assert first_outcomes(ask_all([byte_by_byte(turned) for turned in turns[-2:]])) == {Outcome.TURNED_AWAY}
+    assert first_outcomes(ask_all([whole(turned) for turned in turns])) == {Outcome.REJECTED}
+    assert first_outcomes(ask_all([byte_by_byte(turned) for turned in turns[-2:]])) == {Outcome.REJECTED}
     start = turned.index(b"\r\n\r\n")
     cuts = [whole(turned[:place], end) for place in range(start, len(turned)) for end in CUTS]
-    assert first_outcomes(ask_all(cuts)) == {Outcome.BROKEN}  # for all that is known it ran
+    assert first_outcomes(ask_all(cuts)) == {Outcome.CONNECTION_LOST}  # for all that is known it ran
 
 
 @pytest.mark.parametrize("lines", named(MALFORMED_LENGTHS, OTHER_CODINGS))
 def test_an_answer_of_malformed_framing_turns_nothing_away(lines: bytes) -> None:
     wire = answer(lines + b"\r\nX-Rejected: 1", b"", 503)
     wires = [wire, wire.replace(b"Billed-Units: 3", b"X-Rejected: 1")]
-    assert first_outcomes(ask_all([whole(w, end) for w in wires for end in End])) == {Outcome.BROKEN}
+    assert first_outcomes(ask_all([whole(w, end) for w in wires for end in End])) == {Outcome.CONNECTION_LOST}
 
 
 @pytest.mark.parametrize("line", [
@@ -729,7 +729,7 @@
         task = asyncio.get_running_loop().create_task(discovery.run())
         async with asyncio.timeout(SOON):
             listing = await told.get()
-        assert (listing.kind, listing.generation) == (ListKind.WHOLE, 3)
+        assert (listing.kind, listing.generation) == (ListKind.FULL, 3)
         task.cancel()
         await peer.stop()
 
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -45,7 +45,7 @@
         self.nodes = []
         for me in range(GATEWAYS):
             way = Way(Net(same=WAY, jitter=0.0), "z", self.dice, Weather())
-            settings = replace(SETTINGS, me=me, gateways=GATEWAYS, pool=known)
+            settings = replace(SETTINGS, gateway_index=me, gateways=GATEWAYS, pool=known)
             node = Counting(
                 f"n{me}", self.clock, settings, me, way, self.machines, counter, self.rules, 100, 0.25,
                 15.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,9 @@
 import pytest
 
 from embersill.__main__ import Program
-from embersill.interface import Alone, Inherit, ListKind, Outcome, Refuse, Request, Send, Suspend, TimerDue
+from embersill.interface import (
+    ListKind, Outcome, PredecessorEnded, PredecessorState, Refuse, Request, Send, Suspend, TimerExpired,
+)
 from embersill.lab.peers import Asked
 from embersill.net.handover import LINK, STATE, Handover
 from tests.bed import READY, Bed, before, request, roomy_settings, run, running
@@ -278,7 +280,7 @@
     credit = old.retry_credit
     state = old.hand_over(100.02)
     new = gateway(plans=(CAPPED,), listed=listed, now=100.02)
-    new.handle(Inherit({**state, "banned": []}), 100.02)
+    new.handle(PredecessorState({**state, "banned": []}), 100.02)
     taken = new.throttles["c"]
     assert taken.level <= level + 0.1 * taken.rate
     assert taken.cap + throttle.cap <= cap + 0.1 * taken.cap_rate
@@ -288,23 +290,24 @@
     both = 0
     for step in range(100):
         now = 100.03 + step / 100
-        both += sends(old.handle(TimerDue("rc"), now))
-        actions = new.handle(asked_for(100 + step, "pay", "capped"), now) + new.handle(TimerDue("rc"), now)
+        both += sends(old.handle(TimerExpired("rc"), now))
+        actions = new.handle(asked_for(100 + step, "pay", "capped"), now) + new.handle(
+            TimerExpired("rc"), now)
         both += sends(actions)
     assert both <= held + max(level, 0.0) + taken.rate + 1
 
 
 def test_what_the_process_before_has_out_counts_until_it_has_ended() -> None:
-    listed = backends(backend("a"), kind=ListKind.WHOLE)
+    listed = backends(backend("a"), kind=ListKind.FULL)
     old = gateway(listed=listed)
     assert sends(old.handle(asked_for(1), 100.0)) == 1
     old.handle(Suspend("b"), 100.0)
     new = gateway(listed=listed)
-    new.handle(Inherit(old.hand_over(100.0)), 100.0)
+    new.handle(PredecessorState(old.hand_over(100.0)), 100.0)
     assert (new.flight, new.servers["a"].flight, new.throttles["c"].open) == (1, 1, 1)
     refused = old.handle(Request(9, "read", "small", "c", 104.0, 1.0, 2, 0, False), 100.0)
     assert [type(a) for a in refused] == [Refuse]
-    new.handle(Alone(), 101.0)
+    new.handle(PredecessorEnded(), 101.0)
     assert (new.flight, new.servers["a"].flight, new.throttles["c"].open) == (0, 0, 0)
 
 
--- a/tests/test_heavy_classes.py
+++ b/tests/test_heavy_classes.py
@@ -19,7 +19,9 @@
 import pytest
 
 from embersill.control import Gateway
-from embersill.interface import AttemptEnded, Event, Inherit, Outcome, Plan, Request, Send, SetTimer, TimerDue
+from embersill.interface import (
+    AttemptEnded, Event, Outcome, Plan, PredecessorState, Request, Send, SetTimer, TimerExpired,
+)
 from embersill.work_times import (
     FIRST_ANSWERS, MOST_KEPT, SHED_BATCH, UNPROVEN_FOR, AverageTime, Load, WorkTimes,
 )
@@ -46,7 +48,7 @@
     late_share: float = 0.0
 
     def __post_init__(self) -> None:
-        heavy = replace(SAFE, aim=self.aim, deadline=4.0 * self.aim, late_share=self.late_share)
+        heavy = replace(SAFE, aim=self.aim, deadline=4.0 * self.aim, late_worth_share=self.late_share)
         listed = backends(*(backend(f"b{number}") for number in range(20)))
         self.gateway: Gateway = gateway(
             listed=listed, plans=(wide_plan(),), gateways=1, counter=False, classes=(heavy,))
@@ -70,7 +72,7 @@
                 self.in_aim += event.elapsed <= self.aim
             for action in self.gateway.handle(event, at):
                 if isinstance(action, SetTimer):
-                    self.put(at + action.delay, TimerDue(action.key))
+                    self.put(at + action.delay, TimerExpired(action.key))
                 elif isinstance(action, Send):
                     self.attempt(at, action)
         return self.in_aim - before
@@ -138,10 +140,10 @@
     fleet.play()
     state = json.loads(json.dumps(fleet.gateway.hand_over(500.0)))
     successor = IdleFleet(0.5, lambda at: 0.4)
-    successor.gateway.handle(Inherit(state), 500.0)
+    successor.gateway.handle(PredecessorState(state), 500.0)
     assert successor.gateway.work_times.of("read", 1.0, "k") == pytest.approx(0.4)
     old_form = {name: value for name, value in state.items() if name != "work_times"}
-    successor.gateway.handle(Inherit(old_form), 500.0)
+    successor.gateway.handle(PredecessorState(old_form), 500.0)
 
 
 def test_a_slow_kind_of_machine_is_known_apart() -> None:
@@ -215,7 +217,7 @@
         for action in made.handle(event, at):
             number += 1
             if isinstance(action, SetTimer):
-                heapq.heappush(events, (at + action.delay, number, TimerDue(action.key)))
+                heapq.heappush(events, (at + action.delay, number, TimerExpired(action.key)))
             elif isinstance(action, Send):
                 free_at[action.backend] = done = max(free_at[action.backend], at) + work
                 took = min(done - at, action.timeout)
--- a/tests/test_incident_clock.py
+++ b/tests/test_incident_clock.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from embersill.interface import BackendList, Inherit, ListKind, Send, Status
+from embersill.interface import BackendList, PredecessorState, ListKind, Send, BackendStatus
 from tests.bed import request, roomy_settings, run, running
 from tests.helpers import CAPPED, SETTINGS, backend, backends, gateway
 from tests.helpers import request as asked_for
@@ -64,7 +64,7 @@
         sent += any(isinstance(a, Send) for a in first.handle(asked, 1000.0))
     state = first.hand_over(1000.0)
     second = gateway(now=1000.0 + step, plans=(plan,), gateways=1, counter=False)
-    second.handle(Inherit({**state, "clock_ahead": step}), 1000.0 + step)
+    second.handle(PredecessorState({**state, "clock_ahead": step}), 1000.0 + step)
     again = 0
     for number in range(1000, 1300):
         asked = asked_for(number, plan=plan.name, width=1, deadline=1010.0 + step)
@@ -92,7 +92,7 @@
     most = settings.cold_from + (1.0 - settings.cold_from) * 1.0 / settings.warm_within
     assert settings.cold_from <= server.cold_share(now, settings) <= most + 1e-9
     assert server.cold_share(now + settings.warm_within, settings) == 1.0  # and it gets warm all the same
-    made.handle(backends(replace(told, status=Status.DRAINING), kind=ListKind.CHANGES), now)
+    made.handle(backends(replace(told, status=BackendStatus.DRAINING), kind=ListKind.CHANGES), now)
     made.handle(backends(told, kind=ListKind.CHANGES), now + 0.5)
     assert made.servers["cold"].cold_share(now + settings.warm_within, settings) == 1.0
 
@@ -114,13 +114,13 @@
     """Discovery leaves out what falls silent, and lists it again: no new start, and no slow start."""
     made = gateway(now=1000.0, listed=backends(backend("a"), backend("b", 1, started=500.0)))
     made.handle(BackendList(ListKind.CHANGES, ()), 1010.0)
-    made.handle(backends(backend("b", 1, Status.GONE, 500.0), kind=ListKind.CHANGES), 1011.0)
+    made.handle(backends(backend("b", 1, BackendStatus.REMOVED, 500.0), kind=ListKind.CHANGES), 1011.0)
     assert "b" not in made.servers
     made.handle(backends(backend("b", 1, started=500.0), kind=ListKind.CHANGES), 1019.0)
     assert made.servers["b"].cold_share(1019.0, made.settings) == 1.0
-    made.handle(backends(backend("a"), kind=ListKind.WHOLE), 1020.0)
-    made.handle(backends(backend("a"), backend("b", 1, started=500.0), kind=ListKind.WHOLE), 1021.0)
+    made.handle(backends(backend("a"), kind=ListKind.FULL), 1020.0)
+    made.handle(backends(backend("a"), backend("b", 1, started=500.0), kind=ListKind.FULL), 1021.0)
     assert made.servers["b"].cold_share(1021.0, made.settings) == 1.0
-    made.handle(backends(backend("b", 1, Status.GONE, 500.0), kind=ListKind.CHANGES), 1022.0)
+    made.handle(backends(backend("b", 1, BackendStatus.REMOVED, 500.0), kind=ListKind.CHANGES), 1022.0)
     made.handle(backends(backend("b", 1, started=1023.0), kind=ListKind.CHANGES), 1023.5)
     assert made.servers["b"].cold_share(1023.5, made.settings) < 1.0
--- a/tests/test_incident_growth.py
+++ b/tests/test_incident_growth.py
@@ -13,19 +13,8 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    AttemptEnded,
-    Backend,
-    BackendList,
-    ListKind,
-    Outcome,
-    Plan,
-    Repeats,
-    Request,
-    RequestClass,
-    Scope,
-    Send,
-    Settings,
-    Status,
+    AttemptEnded, Backend, BackendList, BackendStatus, DedupScope, ListKind, Outcome, Plan, RepeatPolicy,
+    Request, RequestClass, Send, Settings,
 )
 from tests.operations import operations
 from tests.test_pool import World
@@ -36,10 +25,10 @@
 
 
 def settings(gateways: int, me: int = 0) -> Settings:
-    read = RequestClass("read", Repeats.SAFE, Scope.ALL, 5.0, 2.0, 5.0, 0.0, 1.0, False)
-    sign = RequestClass("sign", Repeats.BY_KEY, Scope.CELL, 10.0, 2.0, 5.0, 0.0, 1.0, False)
+    read = RequestClass("read", RepeatPolicy.SAFE, DedupScope.ALL, 5.0, 2.0, 5.0, 0.0, 1.0, False)
+    sign = RequestClass("sign", RepeatPolicy.BY_KEY, DedupScope.CELL, 10.0, 2.0, 5.0, 0.0, 1.0, False)
     return Settings(
-        me=me,
+        gateway_index=me,
         gateways=gateways,
         classes=(read, sign),
         plans=(Plan("p", 1e4, 1e4, 0, 0, 0, 1, 0, 0.5),),
@@ -47,11 +36,11 @@
         list_pushed=True,
         ask_every=10.0,
         counter=False,
-        counter_patience=0.0,
-        counter_price=0.0,
+        counter_timeout=0.0,
+        counter_call_cost=0.0,
         may_cancel=True,
         may_probe=False,
-        second_copies=False,
+        may_hedge=False,
         max_attempts=4,
         max_retry_after=0.5,
         cold_from=0.2,
@@ -59,20 +48,20 @@
         fall_multiple=2.0,
         overload_for=2.0,
         report_fields=(),
-        most_units=1.0,
-        settles=False,
+        max_units=1.0,
+        post_paid=False,
     )
 
 
 def listed(
-    number: int, status: Status = Status.SERVING, started: float | None = None, kind: str = "m"
+    number: int, status: BackendStatus = BackendStatus.SERVING, started: float | None = None, kind: str = "m"
 ) -> Backend:
     return Backend(f"s{number:05d}", "abc"[number % 3], kind, number // 10, status, 1.0, started)
 
 
 def made(backends: int, gateways: int) -> Gateway:
     gateway = Gateway(settings(gateways), 1, 100.0)
-    gateway.handle(BackendList(ListKind.WHOLE, tuple(map(listed, range(backends)))), 100.0)
+    gateway.handle(BackendList(ListKind.FULL, tuple(map(listed, range(backends)))), 100.0)
     return gateway
 
 
@@ -92,7 +81,7 @@
     ask(gateway, 1, 100.0)
     with operations() as counted:
         for number in range(100):
-            change = BackendList(ListKind.CHANGES, (listed(number, Status.DRAINING),))
+            change = BackendList(ListKind.CHANGES, (listed(number, BackendStatus.DRAINING),))
             gateway.handle(change, 100.0 + number / 1000)
     return counted.number
 
@@ -134,7 +123,7 @@
                 gateway.handle(
                     BackendList(
                         ListKind.CHANGES,
-                        (listed(step, Status.DRAINING), listed(backends + step, started=now)),
+                        (listed(step, BackendStatus.DRAINING), listed(backends + step, started=now)),
                     ),
                     now,
                 )
@@ -169,28 +158,28 @@
     for step in range(300):
         now += 0.05
         number = dice.randrange(60)
-        told = listed(number, dice.choice(list(Status)), dice.choice([None, now]), dice.choice("mk"))
+        told = listed(number, dice.choice(list(BackendStatus)), dice.choice([None, now]), dice.choice("mk"))
         told = replace(told, zone=dice.choice("abc"), rating=dice.choice([1.0, 3.0]))
         if step % 50 == 49:
             current = {a: b for a, b in current.items() if dice.random() < 0.8}
-            gateway.handle(BackendList(ListKind.WHOLE, tuple(current.values())), now)
+            gateway.handle(BackendList(ListKind.FULL, tuple(current.values())), now)
         else:
             gateway.handle(BackendList(ListKind.CHANGES, (told,)), now)
-            if told.status is Status.GONE:
+            if told.status is BackendStatus.REMOVED:
                 current.pop(told.address, None)
             else:
                 current[told.address] = told
-        serving = {a: b for a, b in current.items() if b.status is Status.SERVING}
+        serving = {a: b for a, b in current.items() if b.status is BackendStatus.SERVING}
         assert {s.backend.address: s.backend for s in gateway.order} == serving
         for zone in "abc":
-            found = gateway.serving.group(Scope.CELL, ord(zone) - 97)
+            found = gateway.serving.group(DedupScope.CELL, ord(zone) - 97)
             assert {s.backend.address for s in found} == {
                 a for a, b in serving.items() if b.cell == ord(zone) - 97
             }
         if serving:
             mean = sum(b.rating for b in serving.values()) / len(serving)
             for kind, size in gateway.serving.sizes().items():
-                rated = [b.rating for b in serving.values() if b.kind == kind]
+                rated = [b.rating for b in serving.values() if b.machine_type == kind]
                 assert size == pytest.approx(sum(rated) / len(rated) / mean)
 
 
@@ -202,10 +191,10 @@
         listed(n, started=started if n % 5 == 0 else None, kind="large" if n % 4 == 0 else "small")
         for n in range(400)
     ]
-    many = [replace(b, rating=3.0 if b.kind == "large" else 1.0) for b in many]
+    many = [replace(b, rating=3.0 if b.machine_type == "large" else 1.0) for b in many]
     for me in range(200):
         gateway = Gateway(settings(200, me), me, 90.0)
-        gateway.handle(BackendList(ListKind.WHOLE, tuple(many)), 100.0)
+        gateway.handle(BackendList(ListKind.FULL, tuple(many)), 100.0)
         for number in range(30):
             for send in ask(gateway, number, 100.0 + number / 100):
                 sent[send.backend] += 1
@@ -213,11 +202,13 @@
     total = sum(sent.values())
     by_zone = [sum(sent[b.address] for b in many if b.zone == zone) / total for zone in "abc"]
     assert all(0.28 < share < 0.39 for share in by_zone)
-    warm = [b for b in many if b.started is None]
-    large = sum(sent[b.address] for b in warm if b.kind == "large") / sum(b.kind == "large" for b in warm)
-    small = sum(sent[b.address] for b in warm if b.kind == "small") / sum(b.kind == "small" for b in warm)
+    warm = [b for b in many if b.started_at is None]
+    large = sum(sent[b.address] for b in warm if b.machine_type == "large") / sum(
+        b.machine_type == "large" for b in warm)
+    small = sum(sent[b.address] for b in warm if b.machine_type == "small") / sum(
+        b.machine_type == "small" for b in warm)
     assert 2.3 < large / small < 3.7
-    starting = [b for b in many if b.started is not None]
+    starting = [b for b in many if b.started_at is not None]
     assert sum(sent[b.address] for b in starting) / len(starting) < 0.6 * total / len(many)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from embersill.interface import Counted, Outcome, Status
+from embersill.interface import CounterCallEnded, Outcome, BackendStatus
 from embersill.lab.__main__ import SHIPPED
 from embersill.lab.clock import Clock
 from embersill.lab.counter import CounterService
@@ -120,13 +120,13 @@
 
 
 def test_counter_calls_go_in_turn_and_late_ones_add_all_the_same() -> None:
-    clock, told = Clock(), list[Counted]()
+    clock, told = Clock(), list[CounterCallEnded]()
     service = CounterService(clock, Counter(per_s=100.0, parts=1, delay=0.002, line=4, patience=0.03))
     for _ in range(6):
         service.add("n", 1.0, 4.0, told.append)
     clock.run(1.0)
     assert [t.outcome for t in sorted(told, key=lambda t: t.elapsed)] == [
-        Outcome.TURNED_AWAY, Outcome.SERVED, Outcome.SERVED, *[Outcome.TIMED_OUT] * 3]
+        Outcome.REJECTED, Outcome.SERVED, Outcome.SERVED, *[Outcome.TIMED_OUT] * 3]
     service.add("n", 0.0, 4.0, told.append)
     clock.run(2.0)
     assert told[-1].total == 5.0  # the late ones were added
@@ -347,11 +347,11 @@
         if isinstance(step, Outcome):
             rules.ended("n0", 1, place - 1, step)
         elif step == "drained":
-            rules.told("n0", [backend("b1", status=Status.DRAINING)], now)
+            rules.told("n0", [backend("b1", status=BackendStatus.DRAINING)], now)
         elif step == "back":
             rules.told("n0", [backend("b1")], now)
         elif step in ("answer", "refuse"):
-            rules.answered("n0", 1, Outcome.SERVED if step == "answer" else Outcome.TURNED_AWAY, now)
+            rules.answered("n0", 1, Outcome.SERVED if step == "answer" else Outcome.REJECTED, now)
         elif step == "die":
             rules.died("n0")
         elif step == "end":
--- a/tests/test_list_feed.py
+++ b/tests/test_list_feed.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.interface import ListKind, Status
+from embersill.interface import ListKind, BackendStatus
 from embersill.net.discovery import Discovery
 from embersill.net.list_feed import SLICE, SLICED_FROM, ListFeed, ListReader
 from embersill.net.listing import BadList, Listing, parse_listing
@@ -113,11 +113,11 @@
     run(test)
     assert [(part.kind, part.generation) for part in told] == [(ListKind.CHANGES, 2)]
     states = [(e.backend.address, e.backend.status) for e in told[0].entries]
-    assert states[-1] == ("backend-0", Status.SERVING)
+    assert states[-1] == ("backend-0", BackendStatus.SERVING)
     assert sorted(states[:-1], key=str) == [
-        ("backend-10", Status.GONE),
-        ("backend-21", Status.DRAINING),
-        (f"backend-{MANY - 1}", Status.DRAINING),
+        ("backend-10", BackendStatus.REMOVED),
+        ("backend-21", BackendStatus.DRAINING),
+        (f"backend-{MANY - 1}", BackendStatus.DRAINING),
     ]
 
 
