--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -14,9 +14,10 @@
 from embersill.adapter import read_backend, read_event
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, ClientLeft, Count, Counted, Event, Fail, ListKind, OpenFailed,
-    Outcome, Plan, PoolSettings, Refuse, Repeats, Request, RequestClass, Restore, Scope, Send, SetTimer,
-    Settings, Settle, Status, StreamBegun, Suspend, TimerDue, Tuned,
+    Action, AddToCounter, AttemptEnded, Backend, BackendList, BackendStatus, ClientDisconnected,
+    ConnectFailed, CounterCallEnded, DedupScope, Event, Fail, FlushCounts, ListKind, Outcome, Plan,
+    PoolSettings, Refuse, RepeatPolicy, Request, RequestClass, Restore, Send, SetTimer, Settings,
+    SettingsChanged, StreamStarted, Suspend, TimerExpired,
 )
 from embersill.net.clients import CallReader
 from embersill.net.counter import read_reply
@@ -45,10 +46,11 @@
 @st.composite
 def request_classes(draw: st.DrawFn, number: int) -> RequestClass:
     return RequestClass(
-        name=f"class-{number}", repeats=draw(st.sampled_from([*Repeats][::-1])),
-        scope=draw(st.sampled_from(Scope)), memory=draw(st.sampled_from([0.05, 0.3, 10.0])),
+        name=f"class-{number}", repeat_policy=draw(st.sampled_from([*RepeatPolicy][::-1])),
+        dedup_scope=draw(st.sampled_from(DedupScope)), memory=draw(st.sampled_from([0.05, 0.3, 10.0])),
         aim=draw(seconds(0.01, 5.0)), deadline=draw(seconds(0.05, 10.0)),
-        late_share=draw(st.sampled_from([0.0, 0.2, 0.5, 1.0])), worth=draw(st.sampled_from([0.0, 1.0, 5.0])),
+        late_worth_share=draw(st.sampled_from([0.0, 0.2, 0.5, 1.0])),
+        worth=draw(st.sampled_from([0.0, 1.0, 5.0])),
         stream=draw(st.booleans()))
 
 
@@ -61,26 +63,26 @@
         concurrency=draw(st.integers(0, 3)),
         ceiling_rate=draw(seconds(0.1, 50.0)) if has_ceiling else 0.0,
         ceiling_depth=draw(seconds(0.0, 100.0)) if has_ceiling else 0.0,
-        worth_factor=draw(st.sampled_from([0.0, 1.0])), beyond_worth=draw(st.sampled_from([0.0, 0.1])),
-        beyond_cost=draw(st.sampled_from([0.0, 0.5, 1.2])))
+        worth_factor=draw(st.sampled_from([0.0, 1.0])), over_quota_worth=draw(st.sampled_from([0.0, 0.1])),
+        over_quota_cost=draw(st.sampled_from([0.0, 0.5, 1.2])))
 
 
 @st.composite
 def deployments(draw: st.DrawFn) -> Settings:
     gateways = draw(st.sampled_from([1, 2, 3, 7, 200, 1100]))
     return Settings(
-        me=draw(st.integers(0, gateways - 1)), gateways=gateways,
+        gateway_index=draw(st.integers(0, gateways - 1)), gateways=gateways,
         classes=tuple(draw(request_classes(i)) for i in range(draw(st.integers(1, 4)))),
         plans=tuple(draw(plans(i)) for i in range(draw(st.integers(1, 4)))),
         zone=draw(st.sampled_from(["", "a", "z"])), list_pushed=draw(st.booleans()),
         ask_every=draw(seconds(0.0, 10.0)), counter=draw(st.booleans()),
-        counter_patience=draw(seconds(0.005, 0.5)), counter_price=0.01, may_cancel=draw(st.booleans()),
-        may_probe=draw(st.booleans()), second_copies=draw(st.booleans()),
+        counter_timeout=draw(seconds(0.005, 0.5)), counter_call_cost=0.01, may_cancel=draw(st.booleans()),
+        may_probe=draw(st.booleans()), may_hedge=draw(st.booleans()),
         max_attempts=draw(st.integers(1, 5)), max_retry_after=draw(seconds(0.0, 5.0)),
         cold_from=draw(seconds(0.0, 1.0)), warm_within=draw(seconds(0.0, 30.0)),
         fall_multiple=draw(seconds(1.0, 4.0)), overload_for=draw(seconds(0.0, 5.0)),
         report_fields=draw(st.sampled_from([(), ("pending",), ("busy_reqs", "cpu_share")])),
-        most_units=draw(st.sampled_from([1.0, 4.0, 50.0])), settles=draw(st.booleans()),
+        max_units=draw(st.sampled_from([1.0, 4.0, 50.0])), post_paid=draw(st.booleans()),
         pool=PoolSettings(sized=draw(st.booleans()), warm=draw(st.booleans()), learned=draw(st.booleans())))
 
 
@@ -112,7 +114,7 @@
     ever_listed: set[str] = field(default_factory=set)
     suspended: set[str] = field(default_factory=set)
     timers: list[tuple[float, str]] = field(default_factory=list)
-    counts: list[Count] = field(default_factory=list)
+    counts: list[AddToCounter] = field(default_factory=list)
     streaming: set[int] = field(default_factory=set)
 
     def tell(self, event: Event) -> None:
@@ -123,7 +125,7 @@
             self.ever_listed.update(self.listed)
         elif isinstance(event, Request):
             self.open[event.id] = event
-        elif isinstance(event, ClientLeft):
+        elif isinstance(event, ClientDisconnected):
             self.open.pop(event.request, None)
         elif isinstance(event, Suspend) and event.backend in self.ever_listed:  # staff are told so of others
             self.suspended.add(event.backend)
@@ -136,11 +138,11 @@
         if isinstance(action, SetTimer):
             assert 0 < action.delay <= LONGEST_TIMER
             self.timers.append((self.now + action.delay, action.key))
-        elif isinstance(action, Count):
+        elif isinstance(action, AddToCounter):
             assert self.settings.counter
             assert 1 <= len(action.name.encode()) <= LONGEST_NAME and " " not in action.name
             assert math.isfinite(action.amount) and abs(action.amount) <= LARGEST_AMOUNT
-            assert 0 < action.forget_after <= LONGEST_LIFE
+            assert 0 < action.expire_after <= LONGEST_LIFE
             self.counts.append(action)
         elif isinstance(action, Send):
             self.check_send(action)
@@ -149,18 +151,18 @@
 
     def check_send(self, action: Send) -> None:
         asked = self.open[action.request]  # a send for a request that is over breaks a rule
-        klass = next(c for c in self.settings.classes if c.name == asked.klass)
+        klass = next(c for c in self.settings.classes if c.name == asked.request_class)
         attempts, target = self.attempts.setdefault(action.request, []), self.listed[action.backend]
-        assert target.status is Status.SERVING and target.address not in self.suspended
+        assert target.status is BackendStatus.SERVING and target.address not in self.suspended
         assert len(attempts) < self.settings.max_attempts
-        assert self.settings.second_copies or all(a.outcome is not None for a in attempts)
+        assert self.settings.may_hedge or all(a.outcome is not None for a in attempts)
         risky = next((a for a in attempts if a.may_have_run), None)
         if risky is not None:
-            assert klass.repeats is not Repeats.ONCE
-            if klass.repeats is Repeats.BY_KEY:
-                apart = {Scope.ALL: False, Scope.ZONE: risky.backend.zone != target.zone,
-                         Scope.CELL: risky.backend.cell != target.cell}
-                assert not apart[klass.scope]
+            assert klass.repeat_policy is not RepeatPolicy.ONCE
+            if klass.repeat_policy is RepeatPolicy.BY_KEY:
+                apart = {DedupScope.ALL: False, DedupScope.ZONE: risky.backend.zone != target.zone,
+                         DedupScope.CELL: risky.backend.cell != target.cell}
+                assert not apart[klass.dedup_scope]
                 assert self.now - risky.sent < klass.memory
         until = min(asked.deadline, self.now + max(action.timeout, 0.0))
         attempts.append(SentAttempt(target, self.now, until))
@@ -169,12 +171,12 @@
         asked = self.open.pop(action.request)  # a second answer breaks a rule
         assert self.now <= asked.deadline + SLACK and action.request not in self.streaming
         self.answers[action.request] = self.answers.get(action.request, 0) + 1
-        klass = next(c for c in self.settings.classes if c.name == asked.klass)
+        klass = next(c for c in self.settings.classes if c.name == asked.request_class)
         if isinstance(action, Refuse):
             assert math.isfinite(action.retry_after) and action.retry_after >= 0
             if any(a.may_have_run for a in self.attempts.get(action.request, [])):
-                keyed = klass.repeats is Repeats.BY_KEY and klass.scope is Scope.ALL
-                assert keyed or klass.repeats is Repeats.SAFE
+                keyed = klass.repeat_policy is RepeatPolicy.BY_KEY and klass.dedup_scope is DedupScope.ALL
+                assert keyed or klass.repeat_policy is RepeatPolicy.SAFE
 
     def out(self) -> list[tuple[int, int, SentAttempt]]:
         return [(number, place, attempt) for number, attempts in self.attempts.items()
@@ -190,12 +192,12 @@
         over = number not in self.open
         self.tell(AttemptEnded(
             number, place, attempt.backend.address, outcome, self.now - attempt.sent, over,
-            units if outcome is Outcome.SERVED and self.settings.settles else 0.0, ()))
+            units if outcome is Outcome.SERVED and self.settings.post_paid else 0.0, ()))
 
     def begin_stream(self, number: int, place: int) -> None:
         if number in self.open and number not in self.streaming:
             self.streaming.add(number)
-            self.tell(StreamBegun(number, place))
+            self.tell(StreamStarted(number, place))
 
     def run_to(self, until: float) -> None:
         """Fires the timers that fall due, and times out attempts at their ends."""
@@ -208,7 +210,7 @@
             if due[0] <= late[0]:
                 self.timers.remove(due)
                 self.now = max(self.now, due[0])
-                self.tell(TimerDue(due[1]))
+                self.tell(TimerExpired(due[1]))
             else:
                 self.now = max(self.now, late[0])
                 self.end(late[1], late[2], Outcome.TIMED_OUT)
@@ -218,21 +220,21 @@
         counts, self.counts = self.counts, []
         for count in counts:
             late = outcome is Outcome.TIMED_OUT
-            elapsed = self.settings.counter_patience if late else 0.001
-            self.tell(Counted(count.name, outcome, elapsed, total))
+            elapsed = self.settings.counter_timeout if late else 0.001
+            self.tell(CounterCallEnded(count.name, outcome, elapsed, total))
 
 
 ZONES = ["", "a", "b"]
-ENDS = [Outcome.SERVED, Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.NO_CONNECTION,
-        Outcome.BROKEN, Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.TIMED_OUT]
-COUNTER_ENDS = [Outcome.SERVED, Outcome.TIMED_OUT, Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.ERROR]
+ENDS = [Outcome.SERVED, Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED, Outcome.NO_CONNECTION,
+        Outcome.CONNECTION_LOST, Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.TIMED_OUT]
+COUNTER_ENDS = [Outcome.SERVED, Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.ERROR]
 STEPS = st.lists(st.tuples(
     st.sampled_from([*["ask"] * 6, *["end"] * 6, "wait", "wait", "leave", "list", "whole", "failed", "count",
                      "stream", "staff", "full", "settle", "tune"]),
     st.integers(0, 10**6), st.floats(0.0, 1.5)), min_size=20, max_size=50)
 
 
-def drawn_backend(name: str, pick: int, now: float, status: Status) -> Backend:
+def drawn_backend(name: str, pick: int, now: float, status: BackendStatus) -> Backend:
     started = [None, now, now - 3.0, now - 100.0][pick % 4]
     return Backend(name, ZONES[pick // 4 % 3], "k" + str(pick % 2), pick // 12 % 4, status, 1.0, started)
 
@@ -243,7 +245,7 @@
     names = [f"10.0.0.{n}:80" for n in range(6)]
     if kind == "ask":
         klass, plan = told.classes[pick % len(told.classes)], told.plans[pick // 7 % len(told.plans)]
-        units = min(told.most_units, [1.0, 0.5, 3.0, told.most_units][pick // 50 % 4])
+        units = min(told.max_units, [1.0, 0.5, 3.0, told.max_units][pick // 50 % 4])
         wide = 1 + pick // 200 % told.gateways
         patience = min(klass.deadline, 0.02 + 3 * span)
         watch.tell(Request(asked, klass.name, plan.name, f"{plan.name}{pick // 90 % 2}",
@@ -254,31 +256,32 @@
     elif kind == "wait":
         watch.run_to(watch.now + span / 5)
     elif kind == "leave" and watch.open:
-        watch.tell(ClientLeft(sorted(watch.open)[pick % len(watch.open)]))
+        watch.tell(ClientDisconnected(sorted(watch.open)[pick % len(watch.open)]))
     elif kind == "list":
-        status = list(Status)[pick % 3]
+        status = list(BackendStatus)[pick % 3]
         changed = drawn_backend(names[pick // 3 % 6], pick // 18, watch.now, status)
         watch.tell(BackendList(ListKind.CHANGES, (changed,)))
     elif kind == "whole":
-        kept = [drawn_backend(n, pick // (i + 1), watch.now, Status.SERVING) for i, n in enumerate(names)]
-        watch.tell(BackendList(ListKind.WHOLE, tuple(kept[:pick % 7])))
+        kept = [drawn_backend(n, pick // (i + 1), watch.now, BackendStatus.SERVING)
+                for i, n in enumerate(names)]
+        watch.tell(BackendList(ListKind.FULL, tuple(kept[:pick % 7])))
     elif kind == "failed":
         watch.tell(BackendList(ListKind.FAILED, ()))
     elif kind == "count":
         watch.answer_counts(span * (pick % 40), COUNTER_ENDS[pick // 40 % len(COUNTER_ENDS)])
     elif kind == "stream":
         able = {c.name for c in told.classes if c.stream}
-        able_out = [(n, p) for n, p, _ in out if n in watch.open and watch.open[n].klass in able]
+        able_out = [(n, p) for n, p, _ in out if n in watch.open and watch.open[n].request_class in able]
         if able_out:
             watch.begin_stream(*able_out[pick % len(able_out)])
     elif kind == "staff":
         watch.tell((Suspend if pick % 2 else Restore)(names[pick // 2 % 6]))
     elif kind == "full":
-        watch.tell(OpenFailed(names[pick % 6], pick // 6 % 4))
+        watch.tell(ConnectFailed(names[pick % 6], pick // 6 % 4))
     elif kind == "settle":
-        watch.tell(Settle())
+        watch.tell(FlushCounts())
     elif kind == "tune":
-        watch.tell(Tuned(PoolSettings(sized=bool(pick % 2), warm=bool(pick // 2 % 2))))
+        watch.tell(SettingsChanged(PoolSettings(sized=bool(pick % 2), warm=bool(pick // 2 % 2))))
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -286,9 +289,9 @@
 def test_drawn_deployments_break_no_rule(told: Settings, steps: list[tuple[str, int, float]]) -> None:
     watch = RuleChecker(Gateway(told, 1, START), told)
     # warm ones in two zones and two cells each, so that there is somewhere to try again, rightly and wrongly
-    start = [Backend(f"10.0.0.{n}:80", ZONES[n % 2], "k", n // 3, Status.SERVING, 1.0, None)
+    start = [Backend(f"10.0.0.{n}:80", ZONES[n % 2], "k", n // 3, BackendStatus.SERVING, 1.0, None)
              for n in range(6)]
-    watch.tell(BackendList(ListKind.REMEMBERED, tuple(start)))
+    watch.tell(BackendList(ListKind.CACHED, tuple(start)))
     for number, step in enumerate(steps, 1):
         play_step(watch, number, step)
     for number, place, _ in watch.out():
@@ -352,7 +355,7 @@
 
 def test_what_is_learned_of_units_stays_bounded() -> None:
     """Units may have decimals: each of them is not a kind of request of its own."""
-    made = gateway(plans=(wide_plan(),), gateways=1, counter=False, most_units=100.0)
+    made = gateway(plans=(wide_plan(),), gateways=1, counter=False, max_units=100.0)
     for number in range(1, 2001):
         now = 100.0 + number / 10
         units = 1.0 + number * 0.013
@@ -375,8 +378,8 @@
 
     One request takes a little longer on the large ones, which have many more cores: no reason to spare them.
     """
-    listed = backends(*(replace(backend(f"s{i}"), kind="small", rating=1.0) for i in range(6)),
-                      *(replace(backend(f"l{i}"), kind="large", rating=8.0) for i in range(6)))
+    listed = backends(*(replace(backend(f"s{i}"), machine_type="small", rating=1.0) for i in range(6)),
+                      *(replace(backend(f"l{i}"), machine_type="large", rating=8.0) for i in range(6)))
     made = gateway(listed=listed, plans=(wide_plan(),), gateways=40, counter=False)
     large = 0
     for number in range(1, 601):
@@ -400,7 +403,7 @@
         actions = made.handle(request(number, deadline=now + 2.0, width=1), now)
         timers = [a for a in actions if isinstance(a, SetTimer) and a.key.startswith("o") and a.delay <= 0.25]
         for timer in timers:
-            made.handle(TimerDue(timer.key), now + timer.delay)
+            made.handle(TimerExpired(timer.key), now + timer.delay)
         for send in sends(actions):
             made.handle(ended(number, 0, send.backend, Outcome.SERVED, elapsed=0.25), now + 0.25)
             served += 1
@@ -419,12 +422,12 @@
         for job in list(made.jobs.values()):
             for attempt in job.attempts:
                 made.handle(ended(number, 0, attempt.server.backend.address, Outcome.SERVED), now + 0.1)
-        made.handle(TimerDue(f"h{number}"), now + 0.4)
+        made.handle(TimerExpired(f"h{number}"), now + 0.4)
     assert sent > 0
 
 
 def test_a_class_that_is_worth_as_much_late_is_tried_again_after_its_aim() -> None:
-    lasting = replace(SAFE, aim=1.0, deadline=10.0, late_share=1.0)
+    lasting = replace(SAFE, aim=1.0, deadline=10.0, late_worth_share=1.0)
     made = gateway(plans=(wide_plan(),), gateways=1, counter=False, classes=(lasting,))
     sent = sends(made.handle(request(1, deadline=110.0, width=1), 100.0))[0]
     again = made.handle(ended(1, 0, sent.backend, Outcome.NO_CONNECTION, elapsed=1.1), 101.1)
@@ -494,13 +497,13 @@
     """One null made the whole list unreadable, and the gateway kept its old one for ever."""
     told = {**entry("b0", "127.0.0.1:80"), **changes}
     listing = read_listing({"generation": 4.0, "reset": True, "instances": [told]})
-    assert listing.generation == 4 and listing.entries[0].backend.status is Status.SERVING
+    assert listing.generation == 4 and listing.entries[0].backend.status is BackendStatus.SERVING
     bare = {"instanceId": "b0", "hostPort": "127.0.0.1:80", "lifecycle": "SERVING"}
     got = read_listing({"generation": 4, "reset": True, "instances": [bare]}).entries[0].backend
     absent = [key for key, value in changes.items() if value is None]
     if absent:  # told as nothing is as good as not told
-        names = {"weight": "rating", "cell": "cell", "zone": "zone", "machineType": "kind",
-                 "startedAtMs": "started"}
+        names = {"weight": "rating", "cell": "cell", "zone": "zone", "machineType": "machine_type",
+                 "startedAtMs": "started_at"}
         assert all(getattr(listing.entries[0].backend, names[a]) == getattr(got, names[a]) for a in absent)
 
 
@@ -543,7 +546,7 @@
 def test_only_a_keyed_class_needs_a_group_and_a_window(semantics: str, key: str, wrong: object) -> None:
     told = settings_text()
     told["services"][0].update({"semantics": semantics, key: wrong})
-    assert read_settings(told).classes[0].repeats.value in ("safe", "once")
+    assert read_settings(told).classes[0].repeat_policy.value in ("safe", "once")
     told["services"][0]["semantics"] = "by_key"
     with pytest.raises(ValueError, match=key):
         read_settings(told)
@@ -556,12 +559,12 @@
 @pytest.mark.parametrize("line", LONG_AGO)
 def test_a_backend_line_may_leave_out_what_is_absent(line: str) -> None:
     told = read_backend(line.split("\t"))
-    assert told.started is None and told.rating == 1.0 and told.cell == 0
+    assert told.started_at is None and told.rating == 1.0 and told.cell == 0
 
 
 def test_a_request_line_with_numbers_as_numbers() -> None:
     """Only integers are promised to be written as such; width and place are told as numbers."""
     line = "job_in\t7\tread\tsmall\t91f03b7c55d20a64\t8652.25\t2.0\t3.0\t1.0\t2"
     told = read_event(line.split("\t"), {})
-    assert isinstance(told, Request) and (told.units, told.width, told.first_gateway) == (2.0, 3, 1)
+    assert isinstance(told, Request) and (told.units, told.gateway_count, told.first_gateway) == (2.0, 3, 1)
     assert told.repeat
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -319,7 +319,7 @@
         self.world.gone(link)
         if attempt is not None:
             self.pool.broke(link, attempt.sent_at)
-            attempt.link, attempt.outcome = None, Outcome.BROKEN
+            attempt.link, attempt.outcome = None, Outcome.CONNECTION_LOST
 
     @rule(draw=st.data())
     def called_off(self, draw: st.DataObject) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,13 +11,14 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    ClientLeft, Fail, ListKind, Outcome, Refuse, Restore, Send, SetTimer, Status, Suspend, TimerDue,
+    BackendStatus, ClientDisconnected, Fail, ListKind, Outcome, Refuse, Restore, Send, SetTimer, Suspend,
+    TimerExpired,
 )
 from tests.helpers import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
 
 STEP = st.tuples(st.sampled_from(["ask", "end", "end", "wait", "leave", "drain", "count", "silence"]),
                  st.integers(0, 10**6), st.floats(0.0, 1.5))
-ENDS = [Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.BROKEN,
+ENDS = [Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.CONNECTION_LOST,
         Outcome.NOT_SENT, Outcome.CANCELLED]
 
 
@@ -45,9 +46,9 @@
         elif kind == "wait":
             watch.run_to(watch.now + span)
         elif kind == "leave" and watch.open:
-            watch.tell(ClientLeft(sorted(watch.open)[pick % len(watch.open)]))
+            watch.tell(ClientDisconnected(sorted(watch.open)[pick % len(watch.open)]))
         elif kind == "drain":
-            status = [Status.SERVING, Status.DRAINING, Status.GONE][pick % 3]
+            status = [BackendStatus.SERVING, BackendStatus.DRAINING, BackendStatus.REMOVED][pick % 3]
             which = pick // 3 % 4
             watch.tell(backends(backend(names[which], which // 2, status), kind=ListKind.CHANGES))
         elif kind == "count":
@@ -65,7 +66,7 @@
     for throttle in watch.gateway.throttles.values():
         assert throttle.level <= throttle.bank + 1e-6 and not throttle.queue and abs(throttle.held) < 1e-6
         assert throttle.open >= 0
-    assert not watch.gateway.jobs or all(job.out for job in watch.gateway.jobs.values())
+    assert not watch.gateway.jobs or all(job.attempts_in_flight for job in watch.gateway.jobs.values())
 
 
 def where(actions: Sequence[object]) -> str:
@@ -75,9 +76,9 @@
 def test_once_is_refused_only_when_proven_unrun() -> None:
     made = gateway(listed=backends(backend("a")), max_attempts=1)
     made.handle(request(1, "pay"), 100.0)
-    assert isinstance(made.handle(ended(1, 0, "a", Outcome.TURNED_AWAY), 100.1)[-1], Refuse)
+    assert isinstance(made.handle(ended(1, 0, "a", Outcome.REJECTED), 100.1)[-1], Refuse)
     made.handle(request(2, "pay"), 100.2)
-    assert isinstance(made.handle(ended(2, 0, "a", Outcome.BROKEN), 100.3)[-1], Fail)
+    assert isinstance(made.handle(ended(2, 0, "a", Outcome.CONNECTION_LOST), 100.3)[-1], Fail)
 
 
 def test_keyed_is_resent_only_within_its_group() -> None:
@@ -88,7 +89,7 @@
 
 
 def test_nothing_goes_to_a_draining_backend() -> None:
-    made = gateway(listed=backends(backend("a"), backend("b", status=Status.DRAINING)))
+    made = gateway(listed=backends(backend("a"), backend("b", status=BackendStatus.DRAINING)))
     for number in range(3):
         assert where(list(made.handle(request(number), 100.0))) == "a"
 
@@ -98,7 +99,7 @@
     for gateways in (2, 300):
         to_cold = 0
         for me in range(gateways):
-            made = Gateway(replace(SETTINGS, gateways=gateways, me=me), me, 100.0)
+            made = Gateway(replace(SETTINGS, gateways=gateways, gateway_index=me), me, 100.0)
             warm = [backend(f"w{n}") for n in range(5)]
             made.handle(backends(backend("cold", started=100.0), *warm), 100.0)
             for number in range(40):  # none is answered: the warm ones are full soon
@@ -113,7 +114,7 @@
     sent: Counter[str] = Counter()
     listed = [backend(f"w{n}") for n in range(6)] + [backend(f"c{n}", started=100.0) for n in range(6)]
     for me in range(40):
-        made = gateway(listed=backends(*listed), me=me, gateways=40, counter=False)
+        made = gateway(listed=backends(*listed), gateway_index=me, gateways=40, counter=False)
         for number in range(30):  # one after the other, each answered before the next
             server = where(list(made.handle(request(number, customer=str(number), width=1), 100.0)))
             sent[server[0]] += 1
@@ -124,7 +125,7 @@
 
 def used_by(me: int, names: Sequence[str], failing: Sequence[str] = ()) -> set[str]:
     """The backends that one of forty gateways sends its requests to, each answered before the next."""
-    made = gateway(listed=backends(*map(backend, names)), me=me, gateways=40, counter=False)
+    made = gateway(listed=backends(*map(backend, names)), gateway_index=me, gateways=40, counter=False)
     used = set()
     for number in range(150):
         now = 100.0 + number / 10
@@ -158,7 +159,7 @@
     names = [f"b{n}" for n in range(30)]
     taken: Counter[str] = Counter()
     for me in range(40):
-        made = Gateway(replace(SETTINGS, gateways=40, me=me, counter=False), me, 100.0)
+        made = Gateway(replace(SETTINGS, gateways=40, gateway_index=me, counter=False), me, 100.0)
         made.handle(backends(*map(backend, names)), 100.0)
         for server in made.order[:25]:
             server.limit = 0.0  # these bear no more: most draws find no other
@@ -176,7 +177,7 @@
         while sends := [a for a in actions if isinstance(a, Send)]:
             sent += 1
             place = len(made.jobs[number].attempts) - 1
-            actions = made.handle(ended(number, place, sends[0].backend, Outcome.TURNED_AWAY), 100.0)
+            actions = made.handle(ended(number, place, sends[0].backend, Outcome.REJECTED), 100.0)
     assert sent == 1
 
 
@@ -214,9 +215,9 @@
 def test_late_events_for_ended_requests_are_ignored() -> None:
     made = gateway()
     assert made.handle(ended(9, 0, "a", Outcome.SERVED), 100.0) == []
-    assert made.handle(ClientLeft(9), 100.0) == []
-    assert made.handle(TimerDue("o0 9"), 100.0) == []
-    assert made.handle(TimerDue("rnobody"), 100.0) == []
+    assert made.handle(ClientDisconnected(9), 100.0) == []
+    assert made.handle(TimerExpired("o0 9"), 100.0) == []
+    assert made.handle(TimerExpired("rnobody"), 100.0) == []
 
 
 def test_slow_answers_do_not_lock_the_gateway() -> None:
@@ -246,7 +247,7 @@
         timer = next(a for a in actions if isinstance(a, SetTimer) and a.key.startswith("o"))
         if sent == "a":
             stuck += 1
-            made.handle(TimerDue(timer.key), now + timer.delay)
+            made.handle(TimerExpired(timer.key), now + timer.delay)
         else:
             made.handle(ended(number, 0, sent, Outcome.SERVED, 0.1), now + 0.1)
     assert stuck <= 9  # the limit closes on it
@@ -291,7 +292,7 @@
         attempt = 0
         while at in full:
             away += 1
-            more = made.handle(ended(number, attempt, at, Outcome.TURNED_AWAY), now + 0.01)
+            more = made.handle(ended(number, attempt, at, Outcome.REJECTED), now + 0.01)
             attempt += 1
             at = where(more) if any(isinstance(a, Send) for a in more) else ""
         if at:
@@ -314,7 +315,7 @@
     assert made.jobs == {}
     made.handle(request(2), 101.0)
     made.handle(request(3), 50.0)
-    assert made.now == 101.0 and made.jobs[3].arrived == 101.0
+    assert made.now == 101.0 and made.jobs[3].arrived_at == 101.0
 
 
 def test_connections_that_break_as_they_are_used_leave_the_further_attempts_to_others() -> None:
@@ -323,7 +324,7 @@
     watch.tell(backends(backend("a"), backend("b")))
     for number in range(40):
         actions = watch.tell(request(number, customer=f"c{number}"))
-        broken = watch.tell(ended(number, 0, where(actions), Outcome.BROKEN, 0.0, False))
+        broken = watch.tell(ended(number, 0, where(actions), Outcome.CONNECTION_LOST, 0.0, False))
         assert not any(isinstance(a, Refuse) for a in broken)
         watch.tell(ended(number, 1, where(broken), Outcome.SERVED))
 
@@ -334,7 +335,7 @@
     refused = 0
     for number in range(40):
         actions = watch.tell(request(number, customer=f"c{number}"))
-        broken = watch.tell(ended(number, 0, where(actions), Outcome.BROKEN, 0.2, False))
+        broken = watch.tell(ended(number, 0, where(actions), Outcome.CONNECTION_LOST, 0.2, False))
         refused += any(isinstance(a, Refuse) for a in broken)
         if number in watch.open:
             watch.tell(ended(number, 1, where(broken), Outcome.SERVED))
@@ -351,7 +352,7 @@
             sent = where(list(made.handle(request(number, customer=f"x{number}", width=1), 100.0)))
             broken, drawn = broken + (sent == "a" and broken < breaks), drawn + (sent == "a")
             fails = sent == "a" and drawn <= breaks
-            outcome = Outcome.BROKEN if fails else Outcome.SERVED
+            outcome = Outcome.CONNECTION_LOST if fails else Outcome.SERVED
             made.handle(ended(number, 0, sent, outcome, 0.1, over=True), 100.0)
         assert (drawn > 10) == (breaks == 1), drawn
 
@@ -371,10 +372,10 @@
         assert [a.backend for a in sent] == ["a"]
         again = made.handle(ended(number, 0, "a", Outcome.NO_CONNECTION), 100.0)
         assert all(a.backend == "a" for a in again if isinstance(a, Send))
-        made.handle(ClientLeft(number), 100.0)
+        made.handle(ClientDisconnected(number), 100.0)
         for attempt in range(1, 4):
             made.handle(ended(number, attempt, "a", Outcome.CANCELLED), 100.0)
-    made.handle(backends(backend("a"), backend("b"), kind=ListKind.WHOLE), 101.0)
+    made.handle(backends(backend("a"), backend("b"), kind=ListKind.FULL), 101.0)
     assert made.down() >= 1 and all(s.backend.address == "a" for s in made.order)
     made.handle(Restore("b"), 102.0)
     server = made.servers["b"]
@@ -393,7 +394,7 @@
 def test_a_backend_counts_as_down_once_it_fails_again_and_again_until_it_serves() -> None:
     made = gateway(listed=backends(backend("a")))
     told = []
-    outcomes = (Outcome.BROKEN, Outcome.ERROR, Outcome.ERROR, Outcome.SERVED, Outcome.SERVED)
+    outcomes = (Outcome.CONNECTION_LOST, Outcome.ERROR, Outcome.ERROR, Outcome.SERVED, Outcome.SERVED)
     for number, outcome in enumerate(outcomes):
         made.handle(request(number, "pay", customer=f"x{number}", deadline=110.0), 100.0)
         made.handle(ended(number, 0, "a", outcome), 100.1)
@@ -418,7 +419,7 @@
 def test_many_gateways_do_not_greet_a_restored_backend_all_at_once() -> None:
     due = []
     for me in range(48):
-        made = Gateway(replace(SETTINGS, gateways=48, me=me), me, 100.0)
+        made = Gateway(replace(SETTINGS, gateways=48, gateway_index=me), me, 100.0)
         made.handle(backends(backend("a"), backend("b")), 100.0)
         made.handle(Suspend("b"), 100.0)
         made.handle(Restore("b"), 101.0)
@@ -435,11 +436,11 @@
         watch.run_to(watch.now + 0.1)
     where = watch.sent[1][0][0]
     if where == "c":
-        gone = [backend("c", 1, Status.DRAINING)]
+        gone = [backend("c", 1, BackendStatus.DRAINING)]
     else:
-        gone = [backend(x, 0, Status.DRAINING) for x in "ab"]
+        gone = [backend(x, 0, BackendStatus.DRAINING) for x in "ab"]
     watch.tell(backends(*gone, kind=ListKind.CHANGES))
-    actions = watch.tell(ended(1, 0, where, Outcome.BROKEN, over=False))
+    actions = watch.tell(ended(1, 0, where, Outcome.CONNECTION_LOST, over=False))
     assert len(watch.sent[1]) == 1 and any(isinstance(a, Fail) for a in actions)  # it may have run there
 
 
@@ -448,8 +449,8 @@
     watch.listed = {b.address: b for b in (backend("a"), backend("b", 1))}
     watch.tell(request(1, "pay"))
     where = watch.sent[1][0][0]
-    watch.tell(backends(backend(where, int(where == "b"), Status.DRAINING), kind=ListKind.CHANGES))
-    actions = watch.tell(ended(1, 0, where, Outcome.BROKEN, over=False))
+    watch.tell(backends(backend(where, int(where == "b"), BackendStatus.DRAINING), kind=ListKind.CHANGES))
+    actions = watch.tell(ended(1, 0, where, Outcome.CONNECTION_LOST, over=False))
     assert len(watch.sent[1]) == 1 and any(isinstance(a, Fail) for a in actions)
 
 
@@ -457,8 +458,8 @@
     made = gateway(now=1000.0, listed=backends(backend("a", started=500.0), backend("b", 1)))
     made.servers["a"].limit = 3.5  # learned
     for started, warm in ((500.0, True), (1010.0, False)):
-        made.handle(backends(backend("a", 0, Status.DRAINING, started), kind=ListKind.CHANGES), 1010.0)
+        made.handle(backends(backend("a", 0, BackendStatus.DRAINING, started), kind=ListKind.CHANGES), 1010.0)
         assert made.servers["a"] not in made.order
-        made.handle(backends(backend("a", 0, Status.SERVING, started), kind=ListKind.CHANGES), 1011.0)
+        made.handle(backends(backend("a", 0, BackendStatus.SERVING, started), kind=ListKind.CHANGES), 1011.0)
         share = made.servers["a"].cold_share(1011.0, SETTINGS)
         assert (share == 1.0, made.servers["a"].limit == 3.5) == (warm, warm)
--- a/tests/test_scale_counter.py
+++ b/tests/test_scale_counter.py
@@ -8,7 +8,7 @@
 
 import hiredis
 
-from embersill.interface import Counted, Outcome
+from embersill.interface import CounterCallEnded, Outcome
 from embersill.lab.peers import HOST
 from embersill.lab.scale.counter_process import listen
 from embersill.lab.scale.resp import LINE_LENGTH, AddCall, CounterModel, bulk_total
@@ -178,7 +178,7 @@
 
 
 def test_the_gateways_client_understands_it() -> None:
-    heard: list[Counted] = []
+    heard: list[CounterCallEnded] = []
 
     async def test(port: int) -> None:
         client = Counter(time.monotonic, (HOST, port), WITHIN / 2, 1.0, heard.append)
@@ -197,7 +197,7 @@
     model = CounterModel(ManualClock(), 1, 500.0)
     while model.reserve("customer.1") is not None:
         pass
-    heard: list[Counted] = []
+    heard: list[CounterCallEnded] = []
 
     async def test(port: int) -> None:
         client = Counter(time.monotonic, (HOST, port), WITHIN / 2, 1.0, heard.append)
@@ -207,4 +207,4 @@
         client.close()
 
     serve(model, test)
-    assert heard[0].outcome is Outcome.TURNED_AWAY
+    assert heard[0].outcome is Outcome.REJECTED
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from embersill.interface import Status
+from embersill.interface import BackendStatus
 from embersill.lab.peers import message
 from embersill.net.discovery import (
     CALLS, CROWDED, FEW, JITTER, NEXT_WITHIN, WATCH_MS, WATCH_PART, Discovery, NoRoom,
@@ -253,7 +253,7 @@
         await asyncio.sleep(10 * WIRE)
         assert gateway.told[0][1].whole is (how != "change")
         statuses = {e.backend.address: e.backend.status for e in gateway.told[0][1].entries}
-        assert statuses.get("a") is {"absent": None}.get(how, Status.DRAINING)
+        assert statuses.get("a") is {"absent": None}.get(how, BackendStatus.DRAINING)
 
     play(test)
 
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -7,7 +7,9 @@
 import pytest
 
 from embersill.control import Gateway, Throttle
-from embersill.interface import Count, Counted, Outcome, Plan, Refuse, Send, SetTimer, Settle, TimerDue
+from embersill.interface import (
+    AddToCounter, CounterCallEnded, FlushCounts, Outcome, Plan, Refuse, Send, SetTimer, TimerExpired,
+)
 from tests.helpers import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
 
 
@@ -27,7 +29,7 @@
     assert sends(list(held)) == 0
     timer = next(a for a in held if isinstance(a, SetTimer) and a.key.startswith("r"))
     assert timer.delay == pytest.approx(0.2)
-    assert sends(list(made.handle(TimerDue(timer.key), 100.3 + timer.delay))) == 1
+    assert sends(list(made.handle(TimerExpired(timer.key), 100.3 + timer.delay))) == 1
 
 
 def test_large_request_leaves_when_the_bank_is_full() -> None:
@@ -45,7 +47,7 @@
 
 
 def test_settling_goes_below_nought_and_back() -> None:
-    made = gateway(settles=True)
+    made = gateway(post_paid=True)
     made.handle(request(1, units=4.0), 100.0)
     sent = next(iter(made.jobs.values())).attempts[0].server.backend.address
     made.handle(ended(1, 0, sent, Outcome.SERVED, true_units=7.0), 100.0)
@@ -84,8 +86,8 @@
     made = gateway()
     for number in range(4):
         made.handle(request(number), 100.0)
-    made.handle(Counted("c.100", Outcome.NO_CONNECTION, 0.0, 0.0), 101.0)
-    assert not any(isinstance(a, Count) for a in made.handle(TimerDue("cc"), 101.1))
+    made.handle(CounterCallEnded("c.100", Outcome.NO_CONNECTION, 0.0, 0.0), 101.0)
+    assert not any(isinstance(a, AddToCounter) for a in made.handle(TimerExpired("cc"), 101.1))
 
 
 def test_ceiling_grants_only_what_refilled_since_start() -> None:
@@ -104,7 +106,7 @@
     where = made.jobs[1].attempts[0].server.backend.address
     made.handle(ended(1, 0, where, Outcome.SERVED), 100.1)
     for second in range(101, 106):
-        made.handle(TimerDue("cc"), float(second))
+        made.handle(TimerExpired("cc"), float(second))
     for number in range(2, 5):
         made.handle(request(number, customer=f"other{number}", deadline=204.0), 200.0)
     assert "c" not in made.throttles
@@ -164,44 +166,44 @@
     """Found on days of forty gateways: the way to the counter alone takes a third of the patience."""
     made = gateway(gateways=40)
     for _ in range(3):
-        made.handle(Counted("c.1", Outcome.TIMED_OUT, SETTINGS.counter_patience, 0.0), 100.0)
+        made.handle(CounterCallEnded("c.1", Outcome.TIMED_OUT, SETTINGS.counter_timeout, 0.0), 100.0)
     assert made.counted_part < 0.5
     for _ in range(40):
-        made.handle(Counted("c.1", Outcome.SERVED, 0.4 * SETTINGS.counter_patience, 1.0), 101.0)
+        made.handle(CounterCallEnded("c.1", Outcome.SERVED, 0.4 * SETTINGS.counter_timeout, 1.0), 101.0)
     assert made.counted_part == 1.0
 
 
 def test_gateways_that_put_a_sum_right_together_or_after_a_lost_call_do_it_once() -> None:
     """Found on the day of replaced backends: a lost first call left a sum low by up to a minute's rate."""
     for lost in (False, True):
-        made = [gateway(now=105.0, gateways=10, me=me) for me in (0, 1)]
+        made = [gateway(now=105.0, gateways=10, gateway_index=me) for me in (0, 1)]
         total, replies = 0.0, []
         for one in made:  # a minute's name is 45 s old, and nobody has called it: 180 units of 4 a second
             actions = one.handle(request(1, width=10, deadline=109.0), 105.0)
-            asked = [a for a in actions if isinstance(a, Count)]
+            asked = [a for a in actions if isinstance(a, AddToCounter)]
             total += asked[0].amount
-            replies.append(Counted(asked[0].name, Outcome.SERVED, 0.01, total))
+            replies.append(CounterCallEnded(asked[0].name, Outcome.SERVED, 0.01, total))
         if lost:
-            replies[0] = Counted(replies[0].name, Outcome.TIMED_OUT, SETTINGS.counter_patience, 0.0)
+            replies[0] = CounterCallEnded(replies[0].name, Outcome.TIMED_OUT, SETTINGS.counter_timeout, 0.0)
         for _ in range(3):
             calls = [(one, a) for one, reply in zip(made, replies, strict=True)
-                     for a in one.handle(reply, 105.0) if isinstance(a, Count)]
-            replies = [Counted("none.1", Outcome.SERVED, 0.01, 0.0)] * 2
+                     for a in one.handle(reply, 105.0) if isinstance(a, AddToCounter)]
+            replies = [CounterCallEnded("none.1", Outcome.SERVED, 0.01, 0.0)] * 2
             for one, call in calls:
                 total += call.amount
-                replies[made.index(one)] = Counted(call.name, Outcome.SERVED, 0.01, total)
+                replies[made.index(one)] = CounterCallEnded(call.name, Outcome.SERVED, 0.01, total)
         assert 178.0 <= total <= 182.0
 
 
 def test_at_its_end_a_gateway_tells_the_counter_what_it_was_not_told() -> None:
     plan = Plan("small", 4.0, 7.0, 0, 0.0, 0.0, 1.0, 0.0, 1.0)  # thin: its slice goes by the counter's level
     made = gateway(plans=(plan,))
-    asked = [a for a in made.handle(request(1), 100.0) if isinstance(a, Count)]
-    made.handle(Counted(asked[0].name, Outcome.SERVED, 0.001, 1.0), 100.0)
+    asked = [a for a in made.handle(request(1), 100.0) if isinstance(a, AddToCounter)]
+    made.handle(CounterCallEnded(asked[0].name, Outcome.SERVED, 0.001, 1.0), 100.0)
     assert sends(list(made.handle(request(2), 100.05))) == 1  # by the reading at hand, to be told soon
-    told = [a for a in made.handle(Settle(), 100.06) if isinstance(a, Count)]
+    told = [a for a in made.handle(FlushCounts(), 100.06) if isinstance(a, AddToCounter)]
     assert [(a.name, a.amount) for a in told] == [(asked[0].name, 1.0)]
-    assert not made.handle(Settle(), 100.07)
+    assert not made.handle(FlushCounts(), 100.07)
     made.handle(request(3), 100.08)
     made.hand_over(100.09)
-    assert not made.handle(Settle(), 100.1)  # a successor has it, and tells it
+    assert not made.handle(FlushCounts(), 100.1)  # a successor has it, and tells it
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -11,8 +11,8 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, BackendList, Count, Counted, ListKind, Outcome, Plan, Probed, Refuse, Request, Send, SetTimer,
-    TimerDue,
+    Action, AddToCounter, BackendList, CounterCallEnded, ListKind, Outcome, Plan, ProbeEnded, Refuse, Request,
+    Send, SetTimer, TimerExpired,
 )
 from tests.helpers import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
 
@@ -41,10 +41,10 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, me, action.key))
-            elif isinstance(action, Count):
+            elif isinstance(action, AddToCounter):
                 self.calls += 1
                 self.sums[action.name] = self.sums.get(action.name, 0.0) + action.amount
-                told = Counted(action.name, Outcome.SERVED, 0.001, self.sums[action.name])
+                told = CounterCallEnded(action.name, Outcome.SERVED, 0.001, self.sums[action.name])
                 self.take(me, self.gateways[me].handle(told, self.now))
             elif isinstance(action, Send):
                 job = self.gateways[me].jobs[action.request]
@@ -58,7 +58,7 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.take(due[1], self.gateways[due[1]].handle(TimerDue(due[2]), self.now))
+            self.take(due[1], self.gateways[due[1]].handle(TimerExpired(due[2]), self.now))
         self.now = until
 
     def ask(self, me: int, number: int, units: float, customer: str = "c") -> None:
@@ -130,7 +130,7 @@
         fleet.ask(min(int(dice.expovariate(6.0) * gateways), gateways - 1), number, 1.0, customer)
     inside = sum(25.0 * min(use, 1.0) * PLAN.rate for use in uses)
     over = sum(beyond(sent, PLAN, since) for sent in fleet.sent_for.values())
-    assert PLAN.beyond_cost * over / inside <= 0.1
+    assert PLAN.over_quota_cost * over / inside <= 0.1
     assert len(fleet.sent) - over >= 0.75 * inside  # and not because little is sent on at all
 
 
@@ -139,8 +139,8 @@
     for number in range(3):
         actions = made.handle(request(number, width=100), 100.0 + number)
         for action in actions:
-            if isinstance(action, Count):
-                made.handle(Counted(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
+            if isinstance(action, AddToCounter):
+                made.handle(CounterCallEnded(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
     throttle = made.throttles["c"]
     assert throttle.share == 1 / 100 and throttle.bank == PLAN.burst / 100
 
@@ -164,8 +164,8 @@
 def test_events_of_backends_that_are_gone_and_empty_lists_are_harmless() -> None:
     made = gateway()
     sent = next(a for a in made.handle(request(1), 100.0) if isinstance(a, Send))
-    made.handle(BackendList(ListKind.WHOLE, ()), 100.1)
-    made.handle(Probed(sent.backend, Outcome.SERVED, 0.01, (1.0, 2.0, 3.0)), 100.2)
+    made.handle(BackendList(ListKind.FULL, ()), 100.1)
+    made.handle(ProbeEnded(sent.backend, Outcome.SERVED, 0.01, (1.0, 2.0, 3.0)), 100.2)
     made.handle(ended(1, 0, sent.backend, Outcome.SERVED), 100.3)
     assert isinstance(made.handle(request(2), 100.4)[-1], Refuse)
 
@@ -173,7 +173,7 @@
 def test_settings_of_nought_raise_nothing_on_the_way() -> None:
     nought = replace(
         SETTINGS, plans=(replace(PLAN, rate=0.0, burst=0.0), CAPPED), warm_within=0.0, fall_multiple=0.0,
-        overload_for=0.0, counter_patience=0.0, ask_every=0.0, cold_from=0.0, most_units=0.0,
+        overload_for=0.0, counter_timeout=0.0, ask_every=0.0, cold_from=0.0, max_units=0.0,
         classes=tuple(replace(c, aim=0.0) for c in SETTINGS.classes),
     )
     made = Gateway(nought, 1, 100.0)
@@ -182,7 +182,7 @@
         for action in made.handle(request(number, plan=("small", "capped")[number % 2]), 101.0 + number / 10):
             if isinstance(action, SetTimer):
                 assert action.delay > 0
-                made.handle(TimerDue(action.key), 101.0 + number / 10 + action.delay)
+                made.handle(TimerExpired(action.key), 101.0 + number / 10 + action.delay)
 
 
 def test_an_unknown_report_is_passed_over() -> None:
@@ -197,7 +197,7 @@
     (0.001, Outcome.TIMED_OUT, 3, True),  # its connection broke, or what came was no number
     (0.05, Outcome.TIMED_OUT, 1, True),  # late, among others that were not
     (0.05, Outcome.TIMED_OUT, 2, False),
-    (0.001, Outcome.TURNED_AWAY, 1, False),
+    (0.001, Outcome.REJECTED, 1, False),
     (0.001, Outcome.NO_CONNECTION, 1, False),
 ])
 def test_only_a_crowded_or_silent_counter_is_left_alone(
@@ -212,8 +212,8 @@
                 if isinstance(action, SetTimer) and action.key == "c" + customer:
                     due[customer] = action.key
     now = 101.9
-    (count,) = [a for a in made.handle(TimerDue(due["first"]), now) if isinstance(a, Count)]
+    (count,) = [a for a in made.handle(TimerExpired(due["first"]), now) if isinstance(a, AddToCounter)]
     for _ in range(times):
-        made.handle(Counted(count.name, outcome, elapsed, 0.0), now + 0.05)
-    counts = [a for a in made.handle(TimerDue(due["second"]), now + 0.06) if isinstance(a, Count)]
+        made.handle(CounterCallEnded(count.name, outcome, elapsed, 0.0), now + 0.05)
+    counts = [a for a in made.handle(TimerExpired(due["second"]), now + 0.06) if isinstance(a, AddToCounter)]
     assert len(counts) == (1 if goes_on else 0)
