--- a/embersill/call_budget.py
+++ b/embersill/call_budget.py
@@ -47,7 +47,7 @@
         self.filled = max(self.filled, now)  # later than now while the counter is left alone
         self.forget_counted(now)
         reserve = 0.0 if urgent else self.reserve(throttle, units, now)
-        if throttle.thin or reserve:
+        if throttle.low_rate or reserve:
             reserve = max(reserve, self.due_to_demand())
         if self.tokens < 1.0 + reserve:
             return False
@@ -60,10 +60,10 @@
         use = self.uses.get(throttle)
         used = None if use is None else use.used
         if use is None and throttle.plan.rate > 0:
-            use_if_even = throttle.own * throttle.width  # at all gateways: totals may lack what was not told
-            used = max(throttle.total, use_if_even) / throttle.plan.rate or None
+            use_if_even = throttle.local_demand * throttle.gateway_count  # at all gateways: totals may lack what was not told
+            used = max(throttle.total_demand, use_if_even) / throttle.plan.rate or None
         near = used is not None and used >= NEAR
-        if near and not throttle.thin and not self.goes_first(throttle, now):
+        if near and not throttle.low_rate and not self.goes_first(throttle, now):
             return self.burst  # none at all: a total of a part of the demand is worse than the even slice
         if near or not self.may_wait(throttle, units):
             return 0.0
@@ -104,7 +104,7 @@
 
     def may_wait(self, throttle: Throttle, units: float, part: float = UNTOLD_MOST) -> bool:
         """Whether these units may join those that the counter has not been told of."""
-        return throttle.uncounted + units <= max(units, part * throttle.plan.burst)
+        return throttle.unreported_units + units <= max(units, part * throttle.plan.burst)
 
     def covers(self, throttle: Throttle, units: float, now: float) -> bool:
         """Whether these units may be sent on by the last reading: the quota can't be used up by now."""
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -385,7 +385,7 @@
         given_up = Tally({f"gave up {why}": n for why, n in self.gateway.given_up.items()})
         text = self.figures.since(given_up, self.pool.figures + self.list_figures + self.loop_lag.counts)
         if text:
-            listed, down = len(self.gateway.servers), self.gateway.down()
+            listed, down = len(self.gateway.servers), self.gateway.count_unavailable()
             age = f", list {self.list_age():.0f} s old" if self.list_age else ""
             links, idle = len(self.pool.links), self.pool.idle()
             log.info("%s; open %d, connections %d, idle %d, listed %d, down %d%s",
@@ -398,7 +398,7 @@
         pool = {name.replace(" ", "_"): number for name, number in sorted(self.pool.figures.items())}
         return self.figures.text(
             backend_calls=self.dialer.written, inflight=self.unanswered,
-            hosts_listed=len(self.gateway.servers), hosts_down=self.gateway.down(),
+            hosts_listed=len(self.gateway.servers), hosts_down=self.gateway.count_unavailable(),
             pool_connections=len(self.pool.links), pool_idle=self.pool.idle(), **pool, **more)
 
     def tune(self, pool: PoolSettings, aggregation: AggregationSettings | None = None) -> None:
@@ -409,20 +409,20 @@
     def suspend(self, backend: str) -> bool:
         """Takes a backend out; False where it was never listed."""
         self.post(Suspend(backend))
-        return backend in self.gateway.known
+        return backend in self.gateway.known_addresses
 
     def restore(self, backend: str) -> bool:
         self.post(Restore(backend))
-        return backend in self.gateway.known
+        return backend in self.gateway.known_addresses
 
     def standing(self, backend: str) -> str:
         """What the module holds a backend to be, for staff who wait until nothing goes there."""
         server = self.gateway.servers.get(backend)
-        if backend in self.gateway.banned:
+        if backend in self.gateway.suspended:
             return "taken out"
         if server is not None:
             return server.backend.status.value
-        return "gone" if backend in self.gateway.known else "unknown"
+        return "gone" if backend in self.gateway.known_addresses else "unknown"
 
     def out(self, backend: str) -> int:
         """Attempts that are out there: each has its connection, or waits for one."""
@@ -439,7 +439,7 @@
         return self.gateway.hand_over(self.clock())
 
     def take_back(self) -> None:
-        self.gateway.handed = False
+        self.gateway.handed_over = False
 
     def inherit(self, state: dict[str, Any]) -> None:
         self.post(PredecessorState(state))
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -363,7 +363,7 @@
 
     def save_bans(self) -> None:
         if not self.gave:  # the file is the successor's from then on
-            self.write_state({"banned": sorted(self.driver.gateway.banned)})
+            self.write_state({"banned": sorted(self.driver.gateway.suspended)})
 
     async def banned(self, say: str, backend: str) -> None:
         """A ban or its end made here also binds the other process, before anybody hears of it."""
--- a/embersill/serving_set.py
+++ b/embersill/serving_set.py
@@ -79,7 +79,7 @@
     def add(self, server: Server, is_cold: bool) -> None:
         """Puts in a server that is not in yet."""
         backend = server.backend
-        lists = [self.all, self.ranks[server.place]]
+        lists = [self.all, self.ranks[server.rank]]
         if self.by_zone:
             lists.append(self.zones[backend.zone])
         if self.by_cell:
--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -29,17 +29,17 @@
         "throttles": [take_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
         "servers": [[address, server.backend.started_at, fields_of(server, SERVER_STATE)]
                     for address, server in gateway.servers.items() if is_known(server, gateway)],
-        "banned": sorted(gateway.banned), "known": sorted(gateway.known), "greet": gateway.greet,
-        "usual": [[*key, value] for key, value in gateway.usual.items()], "kinds": gateway.kinds,
+        "banned": sorted(gateway.suspended), "known": sorted(gateway.known_addresses), "greet": gateway.first_request_due,
+        "usual": [[*key, value] for key, value in gateway.expected_times.items()], "kinds": gateway.machine_slowness,
         "work_times": gateway.work_times.state(),
-        "granted": [[*key, value] for key, value in gateway.granted.items()],
+        "granted": [[*key, value] for key, value in gateway.grant_rates.items()],
     }
 
 
 def is_known(server: Server, gateway: Gateway) -> bool:
     """True where something was learned of a backend: of thousands most have not been used."""
-    learned = server.bad or server.flight or server.calls or server.started != server.backend.started_at
-    return bool(learned) or server.limit != gateway.start_limit()
+    learned = server.failure_score or server.in_flight or server.cold_sends or server.started_at != server.backend.started_at
+    return bool(learned) or server.limit != gateway.initial_limit()
 
 
 def fields_of(source: Gateway | Server | Throttle, names: tuple[str, ...]) -> dict[str, Any]:
@@ -54,12 +54,12 @@
     """
     throttle.refill(now)
     state = fields_of(throttle, THROTTLE_STATE)
-    kept = throttle.held if throttle.lease is None else min(throttle.held, throttle.cap)
+    kept = throttle.held_units if throttle.lease is None else min(throttle.held_units, throttle.ceiling_level)
     state["cap"] -= kept
     state["cap_kept"] = kept
-    throttle.level, throttle.cap = min(throttle.level, 0.0), min(throttle.cap, throttle.held)
-    throttle.uncounted = 0.0
-    return [throttle.customer, throttle.plan.name, throttle.width, state]
+    throttle.quota_level, throttle.ceiling_level = min(throttle.quota_level, 0.0), min(throttle.ceiling_level, throttle.held_units)
+    throttle.unreported_units = 0.0
+    return [throttle.customer, throttle.plan.name, throttle.gateway_count, state]
 
 
 def restore_state(gateway: Gateway, state: Mapping[str, Any]) -> None:
@@ -76,11 +76,11 @@
     for customer, plan, width, figures in state["throttles"]:
         if plan in gateway.plans:
             restore_throttle(gateway, customer, plan, width, by_own_clock(figures, ahead))
-    gateway.greet = {address: due + ahead for address, due in state["greet"].items()}
-    gateway.kinds = dict(state["kinds"])
-    gateway.usual = {(klass, units): value for klass, units, value in state["usual"]}
+    gateway.first_request_due = {address: due + ahead for address, due in state["greet"].items()}
+    gateway.machine_slowness = dict(state["kinds"])
+    gateway.expected_times = {(klass, units): value for klass, units, value in state["usual"]}
     gateway.work_times.restore(state.get("work_times", ()), gateway.now)  # older versions tell none
-    gateway.granted.update({(name, sure): value for name, sure, value in state["granted"]})
+    gateway.grant_rates.update({(name, sure): value for name, sure, value in state["granted"]})
 
 
 def by_own_clock(figures: Mapping[str, Any], ahead: float) -> dict[str, Any]:
@@ -100,13 +100,13 @@
     first_gateway = figures.get("first_gateway")  # older versions tell none
     made = gateway.new_throttle(customer, gateway.plans[plan], width, first_gateway)
     gateway.throttles[customer] = made
-    gateway.sweep.append(customer)
+    gateway.idle_scan.append(customer)
     kept = figures.get("cap_kept", 0.0)  # older versions tell none
     restore_fields(gateway, made, {n: v for n, v in figures.items() if n != "cap_kept"}, "open")
-    made.cap_depth -= kept
-    gateway.before.append((made, "cap_depth", -kept))
+    made.ceiling_depth -= kept
+    gateway.predecessor_counts.append((made, "cap_depth", -kept))
     made.rate, made.bank = made.plan.rate * made.share, made.plan.burst * made.share
-    gateway.start_counting(made)
+    gateway.schedule_count(made)
 
 
 def restore_fields(
@@ -115,11 +115,11 @@
     """`out`: the field that counts what the process before still has out."""
     for name, value in figures.items():
         setattr(target, name, value)
-    gateway.before.append((target, out, figures[out]))
+    gateway.predecessor_counts.append((target, out, figures[out]))
 
 
 def end_predecessor(gateway: Gateway) -> None:
     """The process before has ended: nothing of it is out any more."""
-    for target, name, number in gateway.before:
+    for target, name, number in gateway.predecessor_counts:
         setattr(target, name, getattr(target, name) - number)
-    gateway.before = []
+    gateway.predecessor_counts = []
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -25,13 +25,13 @@
         return count["n"] % times == 0
 
     if name == "sends to what drains":
-        take_entry = control.Gateway.take_entry
+        take_entry = control.Gateway.apply_entry
 
         def keeps_draining(self, backend):
             if backend.status is BackendStatus.SERVING or self.servers.get(backend.address) is None:
                 take_entry(self, backend)
 
-        control.Gateway.take_entry = keeps_draining
+        control.Gateway.apply_entry = keeps_draining
         pool.Pool.retire = lambda self, backend: None
         pool.Pool.forget_others = lambda self, known: None
     elif name == "stops following the list":
@@ -109,17 +109,17 @@
 
         driver.Driver.take = crashes
     elif name == "takes cold backends for warm":
-        control.Server.cold_share = lambda self, now, settings: 1.0
+        control.Server.capacity_share = lambda self, now, settings: 1.0
     elif name == "passes ceilings":
         refill = control.Throttle.refill
 
         def unbounded(self, now):
             refill(self, now)
-            self.cap, self.level = 1e6, max(self.level, self.bank)
+            self.ceiling_level, self.quota_level = 1e6, max(self.quota_level, self.bank)
 
         control.Throttle.refill = unbounded
     elif name == "serves nobody":
-        control.Gateway.pressed = lambda self, job: True
+        control.Gateway.should_shed = lambda self, job: True
     elif name == "leaks descriptors":
         take_socket = clients.Front.take
 
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -231,7 +231,7 @@
     plan, calls = replace(SMALL, burst=40.0), {}
     for budget in (None, AggregationSettings("", 1000.0, 2000.0)):  # a bucket that is never short
         play = Play(budget, plan=plan)
-        play.gateways[0].counted_part = 1.0
+        play.gateways[0].counted_fraction = 1.0
         play.run_to(START + 5.0)
         for number in range(50):  # one unit a second, of four
             play.run_to(START + 5.0 + number)
@@ -295,7 +295,7 @@
 def test_units_that_may_not_stay_untold_make_a_call_urgent() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
     now = START + 1 / BUDGET.calls_per_second
-    throttle.uncounted = UNTOLD_MOST * SMALL.burst
+    throttle.unreported_units = UNTOLD_MOST * SMALL.burst
     assert not budget.take(throttle, False, 0.0, now)
     assert budget.take(throttle, False, 0.01, now)
 
@@ -303,20 +303,20 @@
 def test_units_beyond_a_part_of_the_burst_are_told_before_others() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
     now = START + (1.0 + UNTOLD_RESERVE * BUDGET.burst) / BUDGET.calls_per_second + 0.001
-    throttle.uncounted = UNTOLD_PART * SMALL.burst
+    throttle.unreported_units = UNTOLD_PART * SMALL.burst
     assert not budget.take(throttle, False, 0.0, now)
-    throttle.uncounted += 0.01
+    throttle.unreported_units += 0.01
     assert budget.take(throttle, False, 0.0, now) and not budget.take(throttle, False, 0.0, now)
 
 
 def test_a_request_beyond_the_untold_part_is_not_sent_on_without_a_call() -> None:
     play = Play(AggregationSettings("", 0.1, 2.0))  # no call for ten seconds
     gateway = play.gateways[0]
-    gateway.granted[SMALL.name, True] = gateway.granted[SMALL.name, False] = 1.0  # all seem to have credit
+    gateway.grant_rates[SMALL.name, True] = gateway.grant_rates[SMALL.name, False] = 1.0  # all seem to have credit
     for _ in range(10):
         play.request("c")
     assert not play.calls
-    assert play.sent["c"] == UNTOLD_MOST * SMALL.burst == gateway.throttles["c"].uncounted
+    assert play.sent["c"] == UNTOLD_MOST * SMALL.burst == gateway.throttles["c"].unreported_units
     assert play.refused["c"] == 2
 
 
@@ -370,7 +370,7 @@
     assert {c: round(told.get(c, 0.0), 6) for c in play.sent} == {
         c: round(units, 6) for c, units in play.sent.items()}
     for gateway in play.gateways:
-        assert not any(t.uncounted for t in gateway.throttles.values())
+        assert not any(t.unreported_units for t in gateway.throttles.values())
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
@@ -510,7 +510,7 @@
 def test_without_the_part_all_actions_are_as_they_were(monkeypatch: pytest.MonkeyPatch) -> None:
     """But for one bound that came later: how many of very many backends a gateway uses."""
     now = played_without_budget().splitlines()
-    monkeypatch.setattr("embersill.control.MOST_APERTURE", 10**6)
+    monkeypatch.setattr("embersill.control.MAX_APERTURE", 10**6)
     assert played_without_budget() == RECORDED.read_text()
     before = RECORDED.read_text().splitlines()
     assert now[:2] == before[:2]  # where there are up to six for each gateway it makes no difference
@@ -596,8 +596,8 @@
     budget = CallBudget(SHORT, START)
     for number in range(200):
         asked = Throttle(f"old{number}", HOT, HOT_SET, START, START, 4.0)
-        asked.own = HOT.rate
+        asked.local_demand = HOT.rate
         budget.take(asked, False, 0.0, START + 1.0)
     throttle = Throttle("hot", HOT, HOT_SET, START, START, 4.0)
-    throttle.own = HOT.rate
+    throttle.local_demand = HOT.rate
     assert budget.take(throttle, False, 0.0, START + 100.0)
--- a/tests/test_ceiling_fleet.py
+++ b/tests/test_ceiling_fleet.py
@@ -92,7 +92,7 @@
     def hand_over(self, me: int, ahead: float, both_for: float) -> None:
         super().hand_over(me, ahead, both_for)
         for throttle in self.processes[me].gateway.throttles.values():
-            throttle.cap = throttle.cap_depth
+            throttle.ceiling_level = throttle.ceiling_depth
 
 
 def planted(fleet: type[CeilingFleet]) -> type[SchedulePlay]:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -133,11 +133,11 @@
             while bed.program.driver.taken < number:
                 await asyncio.sleep(0)
             throttle = next(iter(bed.program.driver.gateway.throttles.values()))
-            if throttle.queue and throttle.wait(8.0) > NOTICED_WITHIN:
+            if throttle.queue and throttle.wait_time(8.0) > NOTICED_WITHIN:
                 break
             await client.answer()
         assert throttle.queue
-        seen, wait = len(bed.seen()), throttle.wait(8.0)
+        seen, wait = len(bed.seen()), throttle.wait_time(8.0)
         WAYS[way](client)
         await gone(bed)
         await asyncio.sleep(wait)  # its credit has come
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -186,7 +186,7 @@
         listed = [backend(f"w{n}") for n in range(many - 2)]
         listed += [backend(f"cold{n}", started=STARTS) for n in range(2)]
         successor.handle(backends(*listed), now)
-        successor.inherit(made.nodes[me].hand_over(now))
+        successor.on_predecessor_state(made.nodes[me].hand_over(now))
         made.nodes[me] = successor
     made.play(ENDS)
     assert max(made.over("cold0"), made.over("cold1")) <= 0
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from embersill.control import CROWDED_IDLE, LINKS_MORE, Gateway
+from embersill.control import CONNECTION_LIMIT_IDLE_TIME, CONNECTION_RAISE_INTERVAL, Gateway
 from embersill.interface import (
     Action, BackendStatus, ConnectFailed, ListKind, Outcome, PoolSettings, Preconnect, Request, Send,
     SetPoolSize, SetTimer, SettingsChanged, TimerExpired,
@@ -46,8 +46,8 @@
 
 def test_a_full_table_lowers_what_is_sent_at_once_and_holds_nothing_against_the_backend() -> None:
     made = gateway(listed=backends(backend("a")))
-    assert sizes(full(made, 100.0)) == [SetPoolSize("a", float("inf"), 1.0, CROWDED_IDLE)]
-    assert made.servers["a"].bad == 0 and not made.down()
+    assert sizes(full(made, 100.0)) == [SetPoolSize("a", float("inf"), 1.0, CONNECTION_LIMIT_IDLE_TIME)]
+    assert made.servers["a"].failure_score == 0 and not made.count_unavailable()
     assert ask(made, 3, 100.2) == ""  # one is out, and no more is taken
     made.handle(ended(1, 0, "a", Outcome.SERVED), 100.3)
     assert ask(made, 4, 100.3) == "a"
@@ -55,7 +55,7 @@
 
 def test_without_that_part_a_failed_open_is_a_failure() -> None:
     made = gateway(listed=backends(backend("a")), pool=PoolSettings(learned=False))
-    assert not sizes(full(made, 100.0)) and made.servers["a"].bad > 0
+    assert not sizes(full(made, 100.0)) and made.servers["a"].failure_score > 0
 
 
 def test_an_open_that_fails_later_is_held_against_the_backend_again() -> None:
@@ -64,7 +64,7 @@
     made.handle(ended(1, 0, "a", Outcome.SERVED), 100.3)
     assert ask(made, 3, 101.0) == "a"
     made.handle(ended(3, 0, "a", Outcome.NO_CONNECTION), 101.0)  # and nothing told that it was heard from
-    assert made.servers["a"].bad > 0
+    assert made.servers["a"].failure_score > 0
 
 
 def test_two_hundred_gateways_raise_a_learned_bound_by_two_a_second_together() -> None:
@@ -77,7 +77,7 @@
             now = 100.0 + step * 2.0
             if ask(made, step, now):
                 raised += len(sizes(made.handle(ended(step, 0, "a", Outcome.SERVED), now)))
-    assert 0.7 * 300 / LINKS_MORE < raised < 1.1 * 300 / LINKS_MORE
+    assert 0.7 * 300 / CONNECTION_RAISE_INTERVAL < raised < 1.1 * 300 / CONNECTION_RAISE_INTERVAL
 
 
 def test_idle_connections_are_kept_for_the_load_and_chance_above_it() -> None:
@@ -94,7 +94,7 @@
     for left in range(number - 2, number + 1):
         made.handle(ended(left, 0, "a", Outcome.SERVED), 141.0)
     assert ask(made, 1000, 200.0) == "a"  # after a quiet minute
-    assert made.servers["a"].keep == 1
+    assert made.servers["a"].max_idle == 1
 
 
 def test_off_nothing_is_said_of_sizes() -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -32,7 +32,7 @@
         async with running() as bed:
             answer = await bed.console(text)
             assert answer.startswith("error ") and len(answer.split()) > 1 and answer.endswith("\n")
-            assert not bed.program.driver.gateway.banned
+            assert not bed.program.driver.gateway.suspended
 
     run(test)
 
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from embersill.control import LINKS_MORE
+from embersill.control import CONNECTION_RAISE_INTERVAL
 from embersill.interface import Outcome, PoolSettings
 from embersill.lab.clock import Clock
 from embersill.lab.counter import CounterService
@@ -85,7 +85,7 @@
     assert sum(served) > 1.5 * sum(unlearned)  # there its refusals passed for its death
     assert sum(n > 0 for n in served) > ROOM  # its places go round
     refused = full.refused
-    assert refused / 90.0 < 1.5 / LINKS_MORE
+    assert refused / 90.0 < 1.5 / CONNECTION_RAISE_INTERVAL
     full.form = msgspec.structs.replace(full.form, connections=1000)
     fleet.play(30.0)
     freed = fleet.play(60.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -55,13 +55,13 @@
             assert (await idle.ask(request(5, units="8")))[0] == 429  # and is not full at the successor
             assert (await idle.ask(request(6, customer="00000000000000c4")))[0] == 200
             assert (counted(second, "success"), counted(second, "busy")) == (2, 1)
-            assert not bed.backends[1].seen and second.driver.gateway.banned == {"b1"}
+            assert not bed.backends[1].seen and second.driver.gateway.suspended == {"b1"}
             stopped = asyncio.create_task(first.stop())
             free.set()
             assert (await busy.answer())[0] == 200 and counted(first, "success") == 2
             async with asyncio.timeout(SOON):
                 await stopped
-                while second.front.elsewhere or second.driver.gateway.before:
+                while second.front.elsewhere or second.driver.gateway.predecessor_counts:
                     await asyncio.sleep(0.01)
             for client in (idle, busy, new):
                 assert (await client.ask(request(7, customer="00000000000000c5")))[0] == 200
@@ -77,15 +77,15 @@
             first = bed.program
             second = await bed.successor(env, folder)
             assert (await bed.console(b"SUSPEND b0\n")).startswith("done ")
-            assert second.driver.gateway.banned == {"b0"}
+            assert second.driver.gateway.suspended == {"b0"}
             bed.program = second
             assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
-            assert first.driver.gateway.banned == {"b0", "b1"}
+            assert first.driver.gateway.suspended == {"b0", "b1"}
             await first.stop(0.0, 0.0)
             second.handover.close()  # as if it were killed: it gives nothing away
             await second.front.stop_listening()
             third = await bed.successor(env, folder)
-            assert third.driver.gateway.banned == {"b0", "b1"}
+            assert third.driver.gateway.suspended == {"b0", "b1"}
             await third.stop(0.0, 0.0)
             await second.stop(0.0, 0.0)
 
@@ -210,7 +210,7 @@
         async with running(folder=str(tmp_path)) as bed:
             client = await bed.client()
             assert (await client.ask(request(1)))[0] == 200
-            assert not bed.program.driver.gateway.banned
+            assert not bed.program.driver.gateway.suspended
 
     run(test)
 
@@ -254,7 +254,7 @@
             assert (await bed.console(b"SUSPEND b0\n")).startswith("done ")
             monkeypatch.setattr(bed.program.handover, "give", lambda: None)
             second = await bed.successor(env, folder)
-            assert second.front.listener is not None and second.driver.gateway.banned == {"b0"}
+            assert second.front.listener is not None and second.driver.gateway.suspended == {"b0"}
             await second.stop(0.0, 0.0)
 
     run(test)
@@ -275,15 +275,15 @@
                 done += 1
                 old.handle(ended(number, 0, action.backend, Outcome.SERVED), 100.0 + number / 1000)
     throttle = old.throttles["c"]
-    held, level, cap = throttle.held, throttle.level, throttle.cap
+    held, level, cap = throttle.held_units, throttle.quota_level, throttle.ceiling_level
     assert held > 0 and done > 0
     credit = old.retry_credit
     state = old.hand_over(100.02)
     new = gateway(plans=(CAPPED,), listed=listed, now=100.02)
     new.handle(PredecessorState({**state, "banned": []}), 100.02)
     taken = new.throttles["c"]
-    assert taken.level <= level + 0.1 * taken.rate
-    assert taken.cap + throttle.cap <= cap + 0.1 * taken.cap_rate
+    assert taken.quota_level <= level + 0.1 * taken.rate
+    assert taken.ceiling_level + throttle.ceiling_level <= cap + 0.1 * taken.ceiling_rate
     assert new.retry_credit + old.retry_credit == pytest.approx(credit)
     assert sends(old.handle(asked_for(50, "pay", "capped"), 100.03)) == 0
     # what both send in the next second is what the level, the rate and what was held allow
@@ -304,11 +304,11 @@
     old.handle(Suspend("b"), 100.0)
     new = gateway(listed=listed)
     new.handle(PredecessorState(old.hand_over(100.0)), 100.0)
-    assert (new.flight, new.servers["a"].flight, new.throttles["c"].open) == (1, 1, 1)
+    assert (new.in_flight, new.servers["a"].in_flight, new.throttles["c"].in_flight) == (1, 1, 1)
     refused = old.handle(Request(9, "read", "small", "c", 104.0, 1.0, 2, 0, False), 100.0)
     assert [type(a) for a in refused] == [Refuse]
     new.handle(PredecessorEnded(), 101.0)
-    assert (new.flight, new.servers["a"].flight, new.throttles["c"].open) == (0, 0, 0)
+    assert (new.in_flight, new.servers["a"].in_flight, new.throttles["c"].in_flight) == (0, 0, 0)
 
 
 @pytest.mark.parametrize("text", [b"", b"\r\n\r\n"])
--- a/tests/test_heavy_classes.py
+++ b/tests/test_heavy_classes.py
@@ -123,13 +123,13 @@
     made, now = fleet.gateway, 1000.0
     made.plans["small"] = replace(PLAN, rate=1.0, burst=1.0)
     made.throttles.clear()
-    made.sweep.clear()
+    made.idle_scan.clear()
     asked = [made.handle(request(number, deadline=now + 2.0, width=1), now) for number in (9001, 9002)]
     holds = [a.delay for actions in asked for a in actions if isinstance(a, SetTimer) and a.key[0] == "h"]
     assert all(delay <= 0.1 + 1e-6 for delay in holds)
     made.plans["small"] = replace(PLAN, rate=20.0, burst=1.0)  # 0.05 s for a unit
     made.throttles.clear()
-    made.sweep.clear()
+    made.idle_scan.clear()
     asked = [made.handle(request(number, deadline=now + 2.0, width=1), now) for number in (9003, 9004, 9005)]
     holds = [a.delay for actions in asked for a in actions if isinstance(a, SetTimer) and a.key[0] == "h"]
     assert holds and max(holds) <= 0.1 + 1e-6
--- a/tests/test_incident_clock.py
+++ b/tests/test_incident_clock.py
@@ -30,11 +30,11 @@
             client = await bed.client()
             assert (await client.ask(request(1, units="8")))[0] == 200
             first = bed.program.driver
-            first.gateway.servers["b1"].calls.append(first.clock() - 0.5)
+            first.gateway.servers["b1"].cold_sends.append(first.clock() - 0.5)
             held = next(iter(first.gateway.throttles.values()))
             held.refill(first.clock())
-            before = held.level
-            first.gateway.quiet_until = first.clock() + 7.0
+            before = held.quota_level
+            first.gateway.counter_backoff_until = first.clock() + 7.0
             stepped = time.time
             monkeypatch.setattr("embersill.__main__.time.time", lambda: stepped() + step)
             second = await bed.successor(env, folder)
@@ -43,10 +43,10 @@
             assert now == pytest.approx(first.clock() + step, abs=0.05)
             throttle = next(iter(made.throttles.values()))
             throttle.refill(now)
-            assert before < 7.0 and before - 0.1 <= throttle.level <= before + 0.5 * 3.0
-            assert made.quiet_until == pytest.approx(now + 7.0, abs=3.0) and made.quiet_until < now + 7.1
-            assert 0.4 < now - made.servers["b1"].calls[0] < 4.0
-            assert 0.0 <= now - made.born < 10.0
+            assert before < 7.0 and before - 0.1 <= throttle.quota_level <= before + 0.5 * 3.0
+            assert made.counter_backoff_until == pytest.approx(now + 7.0, abs=3.0) and made.counter_backoff_until < now + 7.1
+            assert 0.4 < now - made.servers["b1"].cold_sends[0] < 4.0
+            assert 0.0 <= now - made.started_at < 10.0
             await second.stop(0.0, 0.0)
 
     run(test)
@@ -72,7 +72,7 @@
     assert again <= 31
     throttle = next(iter(second.throttles.values()))
     throttle.refill(1001.3 + step)
-    assert throttle.cap >= 89.9  # and a step back does not shut it
+    assert throttle.ceiling_level >= 89.9  # and a step back does not shut it
 
 
 @pytest.mark.parametrize("step", [3600.0, 30.0, -30.0, -3600.0])
@@ -90,11 +90,11 @@
     settings = made.settings
     server = made.servers["cold"]
     most = settings.cold_from + (1.0 - settings.cold_from) * 1.0 / settings.warm_within
-    assert settings.cold_from <= server.cold_share(now, settings) <= most + 1e-9
-    assert server.cold_share(now + settings.warm_within, settings) == 1.0  # and it gets warm all the same
+    assert settings.cold_from <= server.capacity_share(now, settings) <= most + 1e-9
+    assert server.capacity_share(now + settings.warm_within, settings) == 1.0  # and it gets warm all the same
     made.handle(backends(replace(told, status=BackendStatus.DRAINING), kind=ListKind.CHANGES), now)
     made.handle(backends(told, kind=ListKind.CHANGES), now + 0.5)
-    assert made.servers["cold"].cold_share(now + settings.warm_within, settings) == 1.0
+    assert made.servers["cold"].capacity_share(now + settings.warm_within, settings) == 1.0
 
 
 def test_starts_in_the_first_lists_are_believed() -> None:
@@ -104,10 +104,10 @@
             backend("cold", started=1000.0 - SETTINGS.warm_within / 2), backend("warm", started=500.0)
         ),
     )
-    shares = {a: s.cold_share(1000.0, SETTINGS) for a, s in made.servers.items()}
+    shares = {a: s.capacity_share(1000.0, SETTINGS) for a, s in made.servers.items()}
     assert shares["warm"] == 1.0
     assert shares["cold"] == pytest.approx((1.0 + SETTINGS.cold_from) / 2)
-    assert made.servers["warm"].full == {} and made.servers["warm"].links == inf
+    assert made.servers["warm"].rejecting_until == {} and made.servers["warm"].max_connections == inf
 
 
 def test_a_backend_that_was_off_the_list_for_a_while_is_the_same_process_if_its_start_is() -> None:
@@ -117,10 +117,10 @@
     made.handle(backends(backend("b", 1, BackendStatus.REMOVED, 500.0), kind=ListKind.CHANGES), 1011.0)
     assert "b" not in made.servers
     made.handle(backends(backend("b", 1, started=500.0), kind=ListKind.CHANGES), 1019.0)
-    assert made.servers["b"].cold_share(1019.0, made.settings) == 1.0
+    assert made.servers["b"].capacity_share(1019.0, made.settings) == 1.0
     made.handle(backends(backend("a"), kind=ListKind.FULL), 1020.0)
     made.handle(backends(backend("a"), backend("b", 1, started=500.0), kind=ListKind.FULL), 1021.0)
-    assert made.servers["b"].cold_share(1021.0, made.settings) == 1.0
+    assert made.servers["b"].capacity_share(1021.0, made.settings) == 1.0
     made.handle(backends(backend("b", 1, BackendStatus.REMOVED, 500.0), kind=ListKind.CHANGES), 1022.0)
     made.handle(backends(backend("b", 1, started=1023.0), kind=ListKind.CHANGES), 1023.5)
-    assert made.servers["b"].cold_share(1023.5, made.settings) < 1.0
+    assert made.servers["b"].capacity_share(1023.5, made.settings) < 1.0
--- a/tests/test_incident_growth.py
+++ b/tests/test_incident_growth.py
@@ -90,7 +90,7 @@
     """Operations for fifty requests in a second, each of which fails once; no list changes meanwhile."""
     gateway = made(backends, gateways)
     ask(gateway, 0, 100.0)
-    gateway.weigh_at = 1e9  # how often weights are made anew is judged by itself
+    gateway.reweigh_at = 1e9  # how often weights are made anew is judged by itself
     with operations() as counted:
         for number in range(1, 51):
             sent = ask(gateway, number, 100.0, klass)
@@ -142,7 +142,7 @@
         for server in gateway.servers.values():
             server.limit = 0.0
         assert not ask(gateway, 1, 100.0)
-        gateway.weigh_at = 1e9
+        gateway.reweigh_at = 1e9
         with operations() as counted:
             assert not ask(gateway, 2, 100.0)
         return counted.number
@@ -170,7 +170,7 @@
             else:
                 current[told.address] = told
         serving = {a: b for a, b in current.items() if b.status is BackendStatus.SERVING}
-        assert {s.backend.address: s.backend for s in gateway.order} == serving
+        assert {s.backend.address: s.backend for s in gateway.serving_servers} == serving
         for zone in "abc":
             found = gateway.serving.group(DedupScope.CELL, ord(zone) - 97)
             assert {s.backend.address for s in found} == {
@@ -236,6 +236,6 @@
     for number in range(20):
         for send in ask(gateway, number, 100.0):
             end(gateway, send, Outcome.ERROR, 100.0)
-    learned = {s.backend.address for s in gateway.servers.values() if s.bad > 0 or s.flight}
+    learned = {s.backend.address for s in gateway.servers.values() if s.failure_score > 0 or s.in_flight}
     told = {address for address, _, _ in gateway.hand_over(100.1)["servers"]}
     assert learned and learned <= told and len(told) < 100
--- a/tests/test_incident_system_calls.py
+++ b/tests/test_incident_system_calls.py
@@ -91,7 +91,7 @@
         dialer.loop = flaky = FailingLoop(dialer.loop, "create_connection", error, 2)  # type: ignore[assignment]
         assert (await (await bed.client()).ask(request(1)))[0] == 200
         assert flaky.tries == 3 and len(bed.seen()) == 1
-        assert all(s.bad == 0 for s in bed.program.driver.gateway.servers.values())  # no fault of theirs
+        assert all(s.failure_score == 0 for s in bed.program.driver.gateway.servers.values())  # no fault of theirs
 
     with_bed(test)
 
@@ -146,8 +146,8 @@
             assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
             second = await bed.successor(env, folder)
             assert bed.program.handover.gave
-            assert second.driver.gateway.banned == {"b1"}
-            assert next(iter(second.driver.gateway.throttles.values())).level < 8.0
+            assert second.driver.gateway.suspended == {"b1"}
+            assert next(iter(second.driver.gateway.throttles.values())).quota_level < 8.0
             await second.stop(0.0, 0.0)
 
     run(test)
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -303,10 +303,10 @@
         watch.end(number, place, Outcome.CANCELLED)
     assert not watch.open and not watch.gateway.jobs
     assert all(times == 1 for times in watch.answers.values())
-    assert watch.gateway.flight == 0 and all(s.flight == 0 for s in watch.gateway.servers.values())
+    assert watch.gateway.in_flight == 0 and all(s.in_flight == 0 for s in watch.gateway.servers.values())
     for throttle in watch.gateway.throttles.values():
-        assert not throttle.queue and throttle.open == 0 and abs(throttle.held) < 1e-6
-        assert throttle.level <= throttle.bank + 1e-6
+        assert not throttle.queue and throttle.in_flight == 0 and abs(throttle.held_units) < 1e-6
+        assert throttle.quota_level <= throttle.bank + 1e-6
 
 
 # --- Cases -----------------------------------------------------------------------------------------------
@@ -327,12 +327,12 @@
     assert not sends(held)
     first = next(iter(made.jobs[1].attempts)).server.backend.address
     assert sends(made.handle(ended(1, 0, first, Outcome.SERVED), 100.1))  # the held one leaves
-    assert made.throttles["c"].level == 0.0
+    assert made.throttles["c"].quota_level == 0.0
 
 
 def test_a_failure_that_cannot_be_repeated_takes_no_credit_from_others() -> None:
     made = gateway(plans=(wide_plan(),), gateways=1, counter=False, classes=(SAFE, ONCE))
-    made.usual = {("pay", 0.0): 0.1, ("read", 0.0): 0.1}
+    made.expected_times = {("pay", 0.0): 0.1, ("read", 0.0): 0.1}
     credit = made.retry_credit
     sent = sends(made.handle(request(1, "pay", deadline=110.0, width=1), 100.0))[0]
     assert isinstance(made.handle(ended(1, 0, sent.backend, Outcome.ERROR), 100.2)[-1], Fail)
@@ -343,14 +343,14 @@
     """A client's last try, or a deadline well below the aim: what timed out was no answer in time."""
     patient = replace(SAFE, aim=4.0, deadline=1.0)
     made = gateway(plans=(wide_plan(),), gateways=1, counter=False, classes=(patient,))
-    made.passed = 0.5
+    made.admitted_fraction = 0.5
     sent: list[Send] = []
     number = 0
     while not sent:
         number += 1
         sent = sends(made.handle(request(number, deadline=101.0, width=1), 100.0))
     made.handle(ended(number, 0, sent[0].backend, Outcome.TIMED_OUT, elapsed=1.0), 101.0)
-    assert made.passed <= 0.5
+    assert made.admitted_fraction <= 0.5
 
 
 def test_what_is_learned_of_units_stays_bounded() -> None:
@@ -362,14 +362,14 @@
         sent = sends(made.handle(request(number, units=units, deadline=now + 4.0, width=1), now))
         for send in sent:
             made.handle(ended(number, 0, send.backend, Outcome.SERVED, elapsed=0.02), now + 0.02)
-    assert len(made.usual) < 100
+    assert len(made.expected_times) < 100
 
 
 def test_the_number_of_avoided_backends_is_told_without_a_look_at_each() -> None:
     """The log line asks for it every ten seconds, and 8,500 backends held everything up for its time."""
     made = gateway(listed=backends(*(backend(f"b{i}") for i in range(2000))), gateways=1)
     with operations() as counted:
-        assert made.down() == 0
+        assert made.count_unavailable() == 0
     assert counted.number < 200
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -64,8 +64,8 @@
                     total = sum(u for t, u in units[i:] if t <= end)
                     assert total <= CAPPED.ceiling_depth / 2 + CAPPED.ceiling_rate / 2 * (end - start) + 1e-6
     for throttle in watch.gateway.throttles.values():
-        assert throttle.level <= throttle.bank + 1e-6 and not throttle.queue and abs(throttle.held) < 1e-6
-        assert throttle.open >= 0
+        assert throttle.quota_level <= throttle.bank + 1e-6 and not throttle.queue and abs(throttle.held_units) < 1e-6
+        assert throttle.in_flight >= 0
     assert not watch.gateway.jobs or all(job.attempts_in_flight for job in watch.gateway.jobs.values())
 
 
@@ -161,7 +161,7 @@
     for me in range(40):
         made = Gateway(replace(SETTINGS, gateways=40, gateway_index=me, counter=False), me, 100.0)
         made.handle(backends(*map(backend, names)), 100.0)
-        for server in made.order[:25]:
+        for server in made.serving_servers[:25]:
             server.limit = 0.0  # these bear no more: most draws find no other
         sent = made.handle(request(1, width=1), 100.0)
         taken.update(a.backend for a in sent if isinstance(a, Send))
@@ -297,7 +297,7 @@
             at = where(more) if any(isinstance(a, Send) for a in more) else ""
         if at:
             made.handle(ended(number, attempt, at, Outcome.SERVED), now + 0.05)
-    assert away <= 15 and made.servers["b0"].bad == 0
+    assert away <= 15 and made.servers["b0"].failure_score == 0
     asks = [request(500 + n, "pay", "capped", f"y{n}", 1.0, 190.0, 1) for n in range(9)]
     assert full & {where(made.handle(ask, 180.0)) for ask in asks}
 
@@ -376,10 +376,10 @@
         for attempt in range(1, 4):
             made.handle(ended(number, attempt, "a", Outcome.CANCELLED), 100.0)
     made.handle(backends(backend("a"), backend("b"), kind=ListKind.FULL), 101.0)
-    assert made.down() >= 1 and all(s.backend.address == "a" for s in made.order)
+    assert made.count_unavailable() >= 1 and all(s.backend.address == "a" for s in made.serving_servers)
     made.handle(Restore("b"), 102.0)
     server = made.servers["b"]
-    assert server in made.order and server.cold_share(102.0, made.settings) == made.settings.cold_from
+    assert server in made.serving_servers and server.capacity_share(102.0, made.settings) == made.settings.cold_from
     first = [a for a in made.handle(request(100, customer="z"), 102.2) if isinstance(a, Send)]
     assert [a.backend for a in first] == ["b"]
     later = [made.handle(request(101 + n, customer=f"y{n}"), 102.3) for n in range(3)]
@@ -388,7 +388,7 @@
 
 def test_a_ban_of_an_unknown_backend_is_none() -> None:
     made = gateway()
-    assert made.handle(Suspend("nobody"), 100.0) == [] and not made.banned and "nobody" not in made.known
+    assert made.handle(Suspend("nobody"), 100.0) == [] and not made.suspended and "nobody" not in made.known_addresses
 
 
 def test_a_backend_counts_as_down_once_it_fails_again_and_again_until_it_serves() -> None:
@@ -398,7 +398,7 @@
     for number, outcome in enumerate(outcomes):
         made.handle(request(number, "pay", customer=f"x{number}", deadline=110.0), 100.0)
         made.handle(ended(number, 0, "a", outcome), 100.1)
-        told.append(made.down())
+        told.append(made.count_unavailable())
     assert told == [0, 0, 1, 1, 0]
 
 
@@ -409,8 +409,8 @@
 
     made = gateway(listed=backends(backend("good"), backend("bad")))
     for server, bad in (("good", 0.0), ("bad", 7.0)):
-        made.servers[server].bad = bad
-        made.servers[server].touched = made.servers[server].failed = 100.0
+        made.servers[server].failure_score = bad
+        made.servers[server].decayed_at = made.servers[server].last_failed_at = 100.0
     taken = [sent_to(number, 100.1) for number in range(20)]
     assert ["good"] in taken and ["bad"] not in taken and taken[-1] == []
     assert sent_to(30, 101.2) == ["bad"] and sent_to(31, 101.2) == []  # a lone one
@@ -423,7 +423,7 @@
         made.handle(backends(backend("a"), backend("b")), 100.0)
         made.handle(Suspend("b"), 100.0)
         made.handle(Restore("b"), 101.0)
-        due.append(made.greet["b"] - 101.0)
+        due.append(made.first_request_due["b"] - 101.0)
     assert max(sum(start <= d < start + 2.0 for d in due) for start in due) <= 24 and max(due) < 4.0
 
 
@@ -459,7 +459,7 @@
     made.servers["a"].limit = 3.5  # learned
     for started, warm in ((500.0, True), (1010.0, False)):
         made.handle(backends(backend("a", 0, BackendStatus.DRAINING, started), kind=ListKind.CHANGES), 1010.0)
-        assert made.servers["a"] not in made.order
+        assert made.servers["a"] not in made.serving_servers
         made.handle(backends(backend("a", 0, BackendStatus.SERVING, started), kind=ListKind.CHANGES), 1011.0)
-        share = made.servers["a"].cold_share(1011.0, SETTINGS)
+        share = made.servers["a"].capacity_share(1011.0, SETTINGS)
         assert (share == 1.0, made.servers["a"].limit == 3.5) == (warm, warm)
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -34,16 +34,16 @@
 
 def test_large_request_leaves_when_the_bank_is_full() -> None:
     throttle = Throttle("c", PLAN, 4, 0.0, 0.0)  # rate 1, bank 2
-    assert throttle.wait(5.0) == 0.0
-    throttle.level = 1.0
-    assert throttle.wait(5.0) == pytest.approx(1.0)
+    assert throttle.wait_time(5.0) == 0.0
+    throttle.quota_level = 1.0
+    assert throttle.wait_time(5.0) == pytest.approx(1.0)
 
 
 def test_held_units_do_not_count_as_bank() -> None:
     throttle = Throttle("c", PLAN, 2, 0.0, 0.0)
-    throttle.level, throttle.held = -3.0, 3.0
+    throttle.quota_level, throttle.held_units = -3.0, 3.0
     throttle.refill(10.0)
-    assert throttle.level == pytest.approx(1.0)  # bank 4 less the 3 that are spoken for
+    assert throttle.quota_level == pytest.approx(1.0)  # bank 4 less the 3 that are spoken for
 
 
 def test_settling_goes_below_nought_and_back() -> None:
@@ -51,26 +51,26 @@
     made.handle(request(1, units=4.0), 100.0)
     sent = next(iter(made.jobs.values())).attempts[0].server.backend.address
     made.handle(ended(1, 0, sent, Outcome.SERVED, true_units=7.0), 100.0)
-    assert made.throttles["c"].level == pytest.approx(-3.0)
+    assert made.throttles["c"].quota_level == pytest.approx(-3.0)
 
 
 def test_reading_moves_the_slice_and_silence_returns_it() -> None:
     throttle = Throttle("c", PLAN, 2, 0.0, 0.0)
     made = gateway()
-    throttle.own = 1.0
-    made.read_total(throttle, 4.0)  # smoothed to 2 of 4: own 1 and half the room of 2
+    throttle.local_demand = 1.0
+    made.apply_total(throttle, 4.0)  # smoothed to 2 of 4: own 1 and half the room of 2
     assert throttle.rate == pytest.approx(2.0)
-    throttle.own = 3.0
-    made.read_total(throttle, 14.0)  # smoothed to 8, above the quota: 4 times 3/8
+    throttle.local_demand = 3.0
+    made.apply_total(throttle, 14.0)  # smoothed to 8, above the quota: 4 times 3/8
     assert throttle.rate == pytest.approx(1.5)
 
 
 def test_lost_counts_are_not_lost_demand() -> None:
     made = gateway()
     throttle = Throttle("c", PLAN, 2, 0.0, 0.0)
-    throttle.own, throttle.added, throttle.total = 3.0, 3.0, 6.0
-    made.read_total(throttle, 0.0)  # less than this gateway added itself: the name was forgotten
-    assert throttle.total == 6.0
+    throttle.local_demand, throttle.reported_demand, throttle.total_demand = 3.0, 3.0, 6.0
+    made.apply_total(throttle, 0.0)  # less than this gateway added itself: the name was forgotten
+    assert throttle.total_demand == 6.0
 
 
 def test_counter_calls_add_then_read_one_name() -> None:
@@ -96,7 +96,7 @@
     assert sends(list(first)) == 0
     later = gateway(now=50.0)
     assert sends(list(later.handle(request(1, plan="capped"), 100.0))) == 1
-    assert Throttle("c", CAPPED, 2, 100.0, 99.0).cap == pytest.approx(3.0)
+    assert Throttle("c", CAPPED, 2, 100.0, 99.0).ceiling_level == pytest.approx(3.0)
 
 
 def test_a_new_throttle_is_not_swept_and_idle_full_ones_are() -> None:
@@ -157,7 +157,7 @@
 def test_where_many_share_a_quota_a_small_slice_goes_by_the_counter() -> None:
     def thin(width: int, burst: float) -> bool:
         plan = Plan("p", 4.0, burst, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
-        return Throttle("c", plan, width, 100.0, 90.0, most_units=1.0).thin
+        return Throttle("c", plan, width, 100.0, 90.0, most_units=1.0).low_rate
 
     assert [thin(4, 3.0), thin(4, 5.0), thin(14, 20.0), thin(14, 29.0)] == [True, False, True, False]
 
@@ -167,10 +167,10 @@
     made = gateway(gateways=40)
     for _ in range(3):
         made.handle(CounterCallEnded("c.1", Outcome.TIMED_OUT, SETTINGS.counter_timeout, 0.0), 100.0)
-    assert made.counted_part < 0.5
+    assert made.counted_fraction < 0.5
     for _ in range(40):
         made.handle(CounterCallEnded("c.1", Outcome.SERVED, 0.4 * SETTINGS.counter_timeout, 1.0), 101.0)
-    assert made.counted_part == 1.0
+    assert made.counted_fraction == 1.0
 
 
 def test_gateways_that_put_a_sum_right_together_or_after_a_lost_call_do_it_once() -> None:
