--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -11,11 +11,24 @@
 if TYPE_CHECKING:
     from embersill.control import Gateway, Server, Throttle
 
-GATEWAY_STATE = ("born", "fleet_fails", "retry_credit", "passed", "judged", "limit", "flight", "quiet_until",
-                 "count_fails", "counted_part")
-THROTTLE_STATE = ("share", "level", "stamp", "cap", "second", "asked", "last_asked", "own", "total",
-                  "read_until", "fresh_until", "uncounted", "open", "first_gateway")
-SERVER_STATE = ("started", "bad", "touched", "limit", "flight", "calls")
+# stored key: attribute
+GATEWAY_STATE = {
+    "born": "started_at", "fleet_fails": "fleet_failure_rate", "retry_credit": "retry_credit",
+    "passed": "admitted_fraction", "judged": "last_adjusted_at", "limit": "limit", "flight": "in_flight",
+    "quiet_until": "counter_backoff_until", "count_fails": "counter_failures",
+    "counted_part": "counted_fraction",
+}
+THROTTLE_STATE = {
+    "share": "share", "level": "quota_level", "stamp": "refilled_at", "cap": "ceiling_level",
+    "second": "demand_period", "asked": "period_demand", "last_asked": "last_period_demand",
+    "own": "local_demand", "total": "total_demand", "read_until": "reading_valid_until",
+    "fresh_until": "reading_fresh_until", "uncounted": "unreported_units", "open": "in_flight",
+    "first_gateway": "first_gateway",
+}
+SERVER_STATE = {
+    "started": "started_at", "bad": "failure_score", "touched": "decayed_at", "limit": "limit",
+    "flight": "in_flight", "calls": "cold_sends",
+}
 # of these, the moments by the clock of the process that hands over, which may be another than the successor's
 MOMENTS = frozenset(
     ("born", "judged", "quiet_until", "stamp", "read_until", "fresh_until", "started", "touched"))
@@ -29,8 +42,10 @@
         "throttles": [take_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
         "servers": [[address, server.backend.started_at, fields_of(server, SERVER_STATE)]
                     for address, server in gateway.servers.items() if is_known(server, gateway)],
-        "banned": sorted(gateway.suspended), "known": sorted(gateway.known_addresses), "greet": gateway.first_request_due,
-        "usual": [[*key, value] for key, value in gateway.expected_times.items()], "kinds": gateway.machine_slowness,
+        "banned": sorted(gateway.suspended), "known": sorted(gateway.known_addresses),
+        "greet": gateway.first_request_due,
+        "usual": [[*key, value] for key, value in gateway.expected_times.items()],
+        "kinds": gateway.machine_slowness,
         "work_times": gateway.work_times.state(),
         "granted": [[*key, value] for key, value in gateway.grant_rates.items()],
     }
@@ -38,12 +53,13 @@
 
 def is_known(server: Server, gateway: Gateway) -> bool:
     """True where something was learned of a backend: of thousands most have not been used."""
-    learned = server.failure_score or server.in_flight or server.cold_sends or server.started_at != server.backend.started_at
+    learned = (server.failure_score or server.in_flight or server.cold_sends
+               or server.started_at != server.backend.started_at)
     return bool(learned) or server.limit != gateway.initial_limit()
 
 
-def fields_of(source: Gateway | Server | Throttle, names: tuple[str, ...]) -> dict[str, Any]:
-    return {name: getattr(source, name) for name in names}
+def fields_of(source: Gateway | Server | Throttle, attributes: Mapping[str, str]) -> dict[str, Any]:
+    return {key: getattr(source, attribute) for key, attribute in attributes.items()}
 
 
 def take_throttle(throttle: Throttle, now: float) -> list[Any]:
@@ -57,7 +73,8 @@
     kept = throttle.held_units if throttle.lease is None else min(throttle.held_units, throttle.ceiling_level)
     state["cap"] -= kept
     state["cap_kept"] = kept
-    throttle.quota_level, throttle.ceiling_level = min(throttle.quota_level, 0.0), min(throttle.ceiling_level, throttle.held_units)
+    throttle.quota_level = min(throttle.quota_level, 0.0)
+    throttle.ceiling_level = min(throttle.ceiling_level, throttle.held_units)
     throttle.unreported_units = 0.0
     return [throttle.customer, throttle.plan.name, throttle.gateway_count, state]
 
@@ -68,11 +85,11 @@
     `clock_ahead`: seconds by which this process's clock is ahead of the other's; older versions tell none.
     """
     ahead = float(state.get("clock_ahead", 0.0))
-    restore_fields(gateway, gateway, by_own_clock(state["gateway"], ahead), "flight")
+    restore_fields(gateway, gateway, GATEWAY_STATE, by_own_clock(state["gateway"], ahead), "flight")
     for address, listed, figures in state["servers"]:
         server = gateway.servers.get(address)
         if server is not None and server.backend.started_at == listed:
-            restore_fields(gateway, server, by_own_clock(figures, ahead), "flight")
+            restore_fields(gateway, server, SERVER_STATE, by_own_clock(figures, ahead), "flight")
     for customer, plan, width, figures in state["throttles"]:
         if plan in gateway.plans:
             restore_throttle(gateway, customer, plan, width, by_own_clock(figures, ahead))
@@ -102,20 +119,22 @@
     gateway.throttles[customer] = made
     gateway.idle_scan.append(customer)
     kept = figures.get("cap_kept", 0.0)  # older versions tell none
-    restore_fields(gateway, made, {n: v for n, v in figures.items() if n != "cap_kept"}, "open")
+    figures = {n: v for n, v in figures.items() if n != "cap_kept"}
+    restore_fields(gateway, made, THROTTLE_STATE, figures, "open")
     made.ceiling_depth -= kept
-    gateway.predecessor_counts.append((made, "cap_depth", -kept))
+    gateway.predecessor_counts.append((made, "ceiling_depth", -kept))
     made.rate, made.bank = made.plan.rate * made.share, made.plan.burst * made.share
     gateway.schedule_count(made)
 
 
 def restore_fields(
-    gateway: Gateway, target: Gateway | Server | Throttle, figures: Mapping[str, Any], out: str
+    gateway: Gateway, target: Gateway | Server | Throttle, attributes: Mapping[str, str],
+    figures: Mapping[str, Any], out: str,
 ) -> None:
-    """`out`: the field that counts what the process before still has out."""
-    for name, value in figures.items():
-        setattr(target, name, value)
-    gateway.predecessor_counts.append((target, out, figures[out]))
+    """`out`: the key of the field that counts what the process before still has out."""
+    for key, value in figures.items():
+        setattr(target, attributes.get(key, key), value)
+    gateway.predecessor_counts.append((target, attributes[out], figures[out]))
 
 
 def end_predecessor(gateway: Gateway) -> None:
