--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -157,7 +157,7 @@
 def test_where_many_share_a_quota_a_small_slice_goes_by_the_counter() -> None:
     def thin(width: int, burst: float) -> bool:
         plan = Plan("p", 4.0, burst, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
-        return Throttle("c", plan, width, 100.0, 90.0, most_units=1.0).low_rate
+        return Throttle("c", plan, width, 100.0, 90.0, max_units=1.0).low_rate
 
     assert [thin(4, 3.0), thin(4, 5.0), thin(14, 20.0), thin(14, 29.0)] == [True, False, True, False]
 
