--- a/embersill/control.py
+++ b/embersill/control.py
@@ -471,7 +471,8 @@
             job = throttle.queue[0]
             units = job.request.units
             wait = 0.0 if job.admit_unchecked and throttle.lease is not None else throttle.wait_time(units)
-            may_use_leases = throttle.lease is not None and wait <= EPSILON and throttle.below_concurrency_limit()
+            may_use_leases = (
+                throttle.lease is not None and wait <= EPSILON and throttle.below_concurrency_limit())
             if may_use_leases and not throttle.fits_ceiling(units, self.now):
                 wait = self.request_lease(throttle)
                 if throttle.awaits_lease:
@@ -1608,7 +1609,7 @@
 
 
 def units_bucket(units: float) -> float:
-    """Rounds up the units by which answer times are kept: to integers, above EXACT_UNITS_UP_TO to powers of 2."""
+    """Rounds up units, as answer times are kept: to an integer, above EXACT_UNITS_UP_TO to a power of two."""
     return float(ceil(units)) if units <= EXACT_UNITS_UP_TO else 2.0 ** ceil(log2(units))
 
 
