--- a/embersill/control.py
+++ b/embersill/control.py
@@ -41,11 +41,11 @@
 MAX_HOLD_SHARE = 0.4  # fraction of the aim for which a request may wait for credit
 READING_LIFE_PERIODS = 2.5  # periods for which a reading sets the slice: longer than one lost call
 DEMAND_WEIGHT = 0.5  # weight of the last period in the smoothed demand
-COUNT_FROM_SHARE = 0.8  # fraction of the even slice in use, or of the bank spent, from which demand counts
+COUNT_FROM_SHARE = 0.8  # of the even slice requested, or of the bank spent, from which demand is reported
 MIN_SLICE_SHARE = 0.1  # fraction of the even slice that is always kept, for a customer who moves here
 COUNTER_EPOCH = 60.0  # seconds of use that one counter name of a low-rate customer sums up: its longest life
 FULLY_COUNTED_GATEWAYS = 100.0  # gateways whose low-rate requests the counter is initially assumed to sustain
-REPORT_DELAY_SHARE = 0.25  # fraction of a period until use is reported; of the unused burst that is corrected
+REPORT_DELAY_SHARE = 0.25  # of a period until use is reported; of the burst, unused, until sums are corrected
 COUNTED_INCREASE = 1.03  # factor on `counted_fraction` for each counter call answered in time
 COUNTED_DECREASE = 0.7  # factor on it for a counter call that was rejected or timed out
 TIMEOUT_SHARE = 0.9  # of the counter timeout; a call lost sooner had its connection broken, no overload
@@ -421,7 +421,8 @@
         units = request.units
         throttle.refill(self.now)
         throttle.record_demand(units, self.now)
-        spare = max(worth_until(job) - self.now - self.work_times.of_class(request_class.name), 0.0)
+        spare = max(
+            worth_until(job) - self.now - self.work_times.of_class(request_class.name), 0.0)
         max_hold = min(MAX_HOLD_SHARE * request_class.aim, (request.deadline - self.now) / 2, spare)
         job.hold_until = self.now + max_hold
         if throttle.low_rate:
@@ -689,7 +690,8 @@
         even = self.now >= throttle.reading_valid_until
         if even and throttle.share == 1.0:
             throttle.set_share(1.0 / throttle.gateway_count, self.now)
-        covered_by_reading = self.budget is not None and self.budget.covers(throttle, units, self.now)
+        covered_by_reading = (
+            self.budget is not None and self.budget.covers(throttle, units, self.now))
         if (covered_by_reading or throttle.awaits_reading
                 or self.now < max(throttle.reading_fresh_until, self.counter_backoff_until)):
             return
@@ -770,7 +772,8 @@
             unused = throttle.plan.rate * (self.now % COUNTER_EPOCH) - event.total
             # what others had corrected before this call reached the counter
             excess = call[3] - max(0.0, unused + call[2] + call[3])
-            valid_until = self.budget.note(throttle, event, call[3], unused, self.now) if self.budget else 0.0
+            valid_until = (
+                self.budget.note(throttle, event, call[3], unused, self.now) if self.budget else 0.0)
             throttle.pending_correction = {}
             if call[3] > 0 and excess > EPSILON:
                 self.correct_sum(throttle, event.name, -excess)
