--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -31,7 +31,7 @@
 from embersill.net.listing import Address, BadList, Listing, read_address, read_addresses, read_listing
 from embersill.net.listening import open_listener
 from embersill.net.trace import make_trace
-from embersill.settings import Limits, read_aggregation, read_limits, read_pool, read_settings
+from embersill.settings import ConnectionLimits, read_aggregation, read_limits, read_pool, read_settings
 
 if TYPE_CHECKING:
     from embersill.net.aggregation import AggregatorRouter
@@ -82,7 +82,7 @@
     memory_mb: float
     known: Listing
     settings: Settings
-    limits: Limits
+    limits: ConnectionLimits
     lame_duck: float  # seconds between a drain's begin and the end of taking requests
     folder: str | None  # private to this gateway: a process that ran before may have left something there
     aggregators: tuple[Address, ...] = ()  # the list service of the aggregators, if there are any
--- a/embersill/adapter.py
+++ b/embersill/adapter.py
@@ -13,43 +13,43 @@
     Event, Fail, ListKind, Outcome, Preconnect, ProbeEnded, Refuse, Request, Send, SetPoolSize, SetTimer,
     StreamStarted, Subscribe, TimerExpired,
 )
-from embersill.settings import STATUSES, read_settings
+from embersill.settings import BACKEND_STATUSES, read_settings
 
 OUTCOMES = {
     "GOOD": Outcome.SERVED, "BAD": Outcome.ERROR, "FULL": Outcome.REJECTED, "LATE": Outcome.TIMED_OUT,
     "NOCONN": Outcome.NO_CONNECTION, "RST": Outcome.CONNECTION_LOST, "CXL": Outcome.CANCELLED,
     "NOP": Outcome.NOT_SENT,
 }
-KINDS = {"Partial": ListKind.CHANGES, "Complete": ListKind.FULL, "Persisted": ListKind.CACHED,
+LIST_KINDS = {"Partial": ListKind.CHANGES, "Complete": ListKind.FULL, "Persisted": ListKind.CACHED,
          "Error": ListKind.FAILED}
 
-BACKEND_PARTS = 6  # of a backend line, up to its state: what comes after may be absent
+MIN_BACKEND_FIELDS = 6  # of a backend line, up to its state: what comes after may be absent
 
 
-class Malformed(Exception):
+class MalformedInput(Exception):
     """A line that the wire does not allow."""
 
 
-def pick(table: dict[str, Any], value: str) -> Any:
+def look_up(table: dict[str, Any], value: str) -> Any:
     if value not in table:
-        raise Malformed(f"unknown value {value!r}")
+        raise MalformedInput(f"unknown value {value!r}")
     return table[value]
 
 
 def read_backend(parts: list[str]) -> Backend:
-    if len(parts) < BACKEND_PARTS or parts[0] != "backend":
-        raise Malformed("expected a backend line")
-    rating, started = float(value(parts, 6, "1")), float(value(parts, 7, "0")) / 1000.0
-    return Backend(parts[1], parts[2], parts[3], int(parts[4]), pick(STATUSES, parts[5]), rating,
+    if len(parts) < MIN_BACKEND_FIELDS or parts[0] != "backend":
+        raise MalformedInput("expected a backend line")
+    rating, started = float(optional_field(parts, 6, "1")), float(optional_field(parts, 7, "0")) / 1000.0
+    return Backend(parts[1], parts[2], parts[3], int(parts[4]), look_up(BACKEND_STATUSES, parts[5]), rating,
                    started or None)
 
 
 def read_load(parts: list[str], at: int) -> tuple[float, ...]:
-    text = value(parts, at, "-")
+    text = optional_field(parts, at, "-")
     return () if text in ("-", "") else tuple(float(v) for v in text.split(","))
 
 
-def value(parts: list[str], at: int, absent: str) -> str:
+def optional_field(parts: list[str], at: int, absent: str) -> str:
     return parts[at] if at < len(parts) and parts[at] != "-" else absent
 
 
@@ -58,38 +58,38 @@
     what = parts[0]
     if what == "job_in":
         return Request(
-            id=int(parts[1]), request_class=parts[2], plan=value(parts, 3, ""), customer=value(parts, 4, ""),
-            deadline=float(parts[5]) / 1000.0, units=float(value(parts, 6, "1")),
-            gateway_count=int(float(value(parts, 7, "0"))),
-            first_gateway=int(float(value(parts, 8, "0"))), repeat=bool(int(value(parts, 9, "0")) & 2),
+            id=int(parts[1]), request_class=parts[2], plan=optional_field(parts, 3, ""), customer=optional_field(parts, 4, ""),
+            deadline=float(parts[5]) / 1000.0, units=float(optional_field(parts, 6, "1")),
+            gateway_count=int(float(optional_field(parts, 7, "0"))),
+            first_gateway=int(float(optional_field(parts, 8, "0"))), repeat=bool(int(optional_field(parts, 9, "0")) & 2),
         )
     if what == "result":
         return AttemptEnded(
-            request=int(parts[1]), attempt=int(parts[2]), backend=parts[3], outcome=pick(OUTCOMES, parts[4]),
-            elapsed=float(parts[5]) / 1000.0, request_ended=value(parts, 6, "0") == "1",
-            actual_units=float(value(parts, 8, "0")), load=read_load(parts, 9),
+            request=int(parts[1]), attempt=int(parts[2]), backend=parts[3], outcome=look_up(OUTCOMES, parts[4]),
+            elapsed=float(parts[5]) / 1000.0, request_ended=optional_field(parts, 6, "0") == "1",
+            actual_units=float(optional_field(parts, 8, "0")), load=read_load(parts, 9),
         )
     if what == "deadline_hit":
         return TimerExpired(parts[1])
     if what == "counted":
-        total = float(value(parts, 3, "0"))
-        return CounterCallEnded(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
+        total = float(optional_field(parts, 3, "0"))
+        return CounterCallEnded(parts[1], look_up(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
     if what == "discovery":
-        kind = pick(KINDS, parts[2])
+        kind = look_up(LIST_KINDS, parts[2])
         if kind is ListKind.FAILED:
             return BackendList(kind, ())
         if int(parts[1]) not in lists:
-            raise Malformed("discovery names an unknown page")
+            raise MalformedInput("discovery names an unknown page")
         return BackendList(kind, lists[int(parts[1])])
     if what == "client_left":
         return ClientDisconnected(int(parts[1]))
     if what == "ack_first":
         return StreamStarted(int(parts[1]), int(parts[2]))
     if what == "probe_result":
-        return ProbeEnded(parts[1], pick(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
+        return ProbeEnded(parts[1], look_up(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
     if what == "note_from":
         return None
-    raise Malformed(f"unknown message {what!r}")
+    raise MalformedInput(f"unknown message {what!r}")
 
 
 def write_action(action: Action) -> str:
@@ -109,14 +109,14 @@
     return "keep_informed\t1"
 
 
-class Host:
+class InstanceHost:
     """All instances of one process. They share nothing but the numbered lists that the wire itself shares."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.lists: dict[int, tuple[Backend, ...]] = {}
 
-    def batch(self, now: float, lines: list[str]) -> list[str]:
+    def run_batch(self, now: float, lines: list[str]) -> list[str]:
         out: list[str] = []
         who = speaking = -1
         at = 0
@@ -130,13 +130,13 @@
                 if parts[0] == "page":
                     count = int(parts[2])
                     if count < 0 or at + count > len(lines):
-                        raise Malformed("a page with too few entries")
+                        raise MalformedInput("a page with too few entries")
                     rows = lines[at:at + count]
                     self.lists[int(parts[1])] = tuple(read_backend(r.split("\t")) for r in rows)
                     at += count
                     continue
                 if who < 0:
-                    raise Malformed("an event before any instance is named")
+                    raise MalformedInput("an event before any instance is named")
                 if parts[0] == "retire":
                     self.gateways.pop(who, None)
                     continue
@@ -146,10 +146,10 @@
                     self.gateways[who] = Gateway(read_settings(env), seed, now)
                     continue
                 if who not in self.gateways:
-                    raise Malformed(f"an event for instance {who}, which is not up")
+                    raise MalformedInput(f"an event for instance {who}, which is not up")
                 event = read_event(parts, self.lists)
-            except (ValueError, IndexError, Malformed) as error:
-                raise Malformed(f"{error} in line {lines[at - 1][:200]!r}") from error
+            except (ValueError, IndexError, MalformedInput) as error:
+                raise MalformedInput(f"{error} in line {lines[at - 1][:200]!r}") from error
             if event is None:
                 continue
             try:
@@ -170,7 +170,7 @@
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
     """Answers batches until the input ends."""
-    host = Host()
+    host = InstanceHost()
     now: float | None = None
     lines: list[str] = []
     for raw in source:
@@ -180,26 +180,26 @@
             if not line:
                 continue
             if parts[0] != "frame" or len(parts) < 2:
-                raise Malformed(f"expected a frame, got {line[:200]!r}")
+                raise MalformedInput(f"expected a frame, got {line[:200]!r}")
             try:
                 now = float(parts[1]) / 1000.0
             except ValueError as error:
-                raise Malformed(f"a frame with no clock: {line[:200]!r}") from error
+                raise MalformedInput(f"a frame with no clock: {line[:200]!r}") from error
             lines = []
         elif line == "go":
-            sink.write("\n".join([*host.batch(now, lines), "next", ""]))
+            sink.write("\n".join([*host.run_batch(now, lines), "next", ""]))
             sink.flush()
             now = None
         else:
             lines.append(line)
     if now is not None:
-        raise Malformed("the input ended inside a batch")
+        raise MalformedInput("the input ended inside a batch")
 
 
 def main() -> int:
     try:
         serve(sys.stdin, sys.stdout)
-    except Malformed as error:
+    except MalformedInput as error:
         print(f"embersill: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
--- a/embersill/ceiling.py
+++ b/embersill/ceiling.py
@@ -29,12 +29,12 @@
 
 LEASED_SHARE = 0.9  # of the ceiling's rate, where the first gateway keeps a part of its own
 GRANT_SHARE = 0.85  # of the leased rate that is granted; the rest makes up for a counter that forgot
-LEASE_AGE = 0.25  # seconds beyond the patience with the counter after which unused units lapse
-LONGEST_LIFE = 60.0  # seconds that the counter keeps a name
-BORDER_LIVES = 2  # lives of the name that a window meets beyond those it spans
+LEASE_EXTRA_AGE = 0.25  # seconds beyond the patience with the counter after which unused units lapse
+MAX_NAME_TTL = 60.0  # seconds that the counter keeps a name
+PARTIAL_LIVES = 2  # lives of the name that a window meets beyond those it spans
 LOST_LIVES = 1  # lives that a counter may grant again as it loses what it knew
 RETRY_SPREAD = 0.5  # of a life: a denied gateway asks again after one half to all of it
-EPS = 1e-9  # float slack where units are compared
+EPSILON = 1e-9  # float slack where units are compared
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,8 +42,8 @@
     """What all gateways of a fleet agree on, as it follows from the plan and the settings alone."""
 
     units: float  # granted in one life of the counter name
-    life: float  # seconds after which the counter forgets the name
-    age: float  # seconds after its call at which an unused lease lapses
+    name_ttl: float  # seconds after which the counter forgets the name
+    max_age: float  # seconds after its call at which an unused lease lapses
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,12 +62,12 @@
     `largest`: units of the largest request. `patience`: seconds a counter call may take; None without one.
     """
     whole = min(largest, plan.ceiling_depth)
-    if plan.ceiling_rate <= 0 or width * whole <= plan.ceiling_depth + EPS:
+    if plan.ceiling_rate <= 0 or width * whole <= plan.ceiling_depth + EPSILON:
         return even_share(plan, width)
     leased = lease_share(plan, whole, rank, patience) if patience is not None else None
     if leased is not None:
         return leased
-    holders = max(1, min(width, int(plan.ceiling_depth / whole + EPS))) if whole > 0 else 1
+    holders = max(1, min(width, int(plan.ceiling_depth / whole + EPSILON))) if whole > 0 else 1
     if rank >= holders:
         return CeilingShare(0.0, 0.0)
     return replace(even_share(plan, holders), holders=holders)
@@ -80,8 +80,8 @@
 
 def lease_share(plan: Plan, whole: float, rank: int, patience: float) -> CeilingShare | None:
     """Leases, with a part of one request for the first gateway if there is room; None if a lease has none."""
-    tolerant = BORDER_LIVES + LOST_LIVES
-    for reserved, lives in ((whole, tolerant), (0.0, tolerant), (0.0, BORDER_LIVES)):
+    tolerant = PARTIAL_LIVES + LOST_LIVES
+    for reserved, lives in ((whole, tolerant), (0.0, tolerant), (0.0, PARTIAL_LIVES)):
         terms = lease_terms(plan, whole, reserved, lives, patience)
         if terms is not None:
             has_part = rank == 0 and reserved > 0
@@ -95,8 +95,8 @@
 ) -> LeaseTerms | None:
     """Terms under which `lives` lives of the name fit into the store; None where one holds no request."""
     granted_rate = GRANT_SHARE * plan.ceiling_rate * (LEASED_SHARE if reserved > 0 else 1.0)
-    age = patience + LEASE_AGE
-    units = min((plan.ceiling_depth - reserved - granted_rate * age) / lives, granted_rate * LONGEST_LIFE)
+    age = patience + LEASE_EXTRA_AGE
+    units = min((plan.ceiling_depth - reserved - granted_rate * age) / lives, granted_rate * MAX_NAME_TTL)
     if whole <= 0 or units < whole:
         return None
     return LeaseTerms(units, units / granted_rate, age)
@@ -107,30 +107,30 @@
 
     def __init__(self, terms: LeaseTerms) -> None:
         self.terms = terms
-        self.units, self.expires = 0.0, -inf
-        self.asked, self.asked_at = 0.0, -inf  # units that the call which is out asks for; nought if none is
+        self.units, self.expires_at = 0.0, -inf
+        self.requested, self.requested_at = 0.0, -inf  # units that the call which is out asks for; nought if none is
         self.retry_at = -inf  # a life that is used up grants nothing before
 
     def available(self, now: float) -> float:
         """Units that may be used now."""
-        return self.units if now < self.expires else 0.0
+        return self.units if now < self.expires_at else 0.0
 
-    def ask(self, units: float, now: float) -> None:
+    def start_request(self, units: float, now: float) -> None:
         """Notes that a call for so many units goes out."""
-        self.asked, self.asked_at = units, now
+        self.requested, self.requested_at = units, now
 
-    def take_grant(self, total: float, now: float, spread: float) -> None:
+    def apply_grant(self, total: float, now: float, spread: float) -> None:
         """Takes what the name's total leaves of the units asked for. `spread`: drawn from 0 to 1."""
-        granted = min(max(self.terms.units - (total - self.asked), 0.0), self.asked)
-        if granted < self.asked - EPS:
-            self.retry_at = now + self.terms.life * (1.0 - RETRY_SPREAD * spread)
+        granted = min(max(self.terms.units - (total - self.requested), 0.0), self.requested)
+        if granted < self.requested - EPSILON:
+            self.retry_at = now + self.terms.name_ttl * (1.0 - RETRY_SPREAD * spread)
         kept = self.available(now)
-        self.expires = min(self.asked_at + self.terms.age, self.expires if kept > 0 else inf)
-        self.units, self.asked = kept + granted, 0.0
+        self.expires_at = min(self.requested_at + self.terms.max_age, self.expires_at if kept > 0 else inf)
+        self.units, self.requested = kept + granted, 0.0
 
-    def take_failure(self) -> None:
+    def apply_failure(self) -> None:
         """The call brought no total: what it may have added is nobody's."""
-        self.asked = 0.0
+        self.requested = 0.0
 
     def charge(self, units: float, now: float) -> float:
         """Uses up to so many units; returns how many are left to be paid otherwise."""
--- a/embersill/control.py
+++ b/embersill/control.py
@@ -22,9 +22,9 @@
 )
 from embersill.records import Attempt, Job
 from embersill.serving_set import ServingSet
-from embersill.settings import check
-from embersill.state_transfer import end_predecessor, restore_state, take_state
-from embersill.work_times import Load, WorkTimes
+from embersill.settings import validate_settings
+from embersill.state_transfer import end_predecessor, restore_state, export_state
+from embersill.work_times import SheddingState, WorkTimes
 
 if TYPE_CHECKING:
     from embersill.call_budget import CallBudget
@@ -175,7 +175,7 @@
     @property
     def awaits_lease(self) -> bool:
         """Whether a call for units of the ceiling is out."""
-        return self.lease is not None and self.lease.asked > 0
+        return self.lease is not None and self.lease.requested > 0
 
     def has_open(self) -> bool:
         return self.plan.concurrency <= 0 or self.open < max(1, self.plan.concurrency // self.width)
@@ -232,7 +232,7 @@
     """Decides for one gateway, on its settings and the events that it is given, and on nothing else."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        check(settings)
+        validate_settings(settings)
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: p for p in settings.plans}
@@ -301,7 +301,7 @@
 
     def may_call(self, throttle: Throttle, urgent: bool = False, units: float = 0.0) -> bool:
         """Whether the budget, if there is one, allows a counter call, and is charged for it."""
-        return self.budget is None or self.budget.take(throttle, urgent, units, self.now)
+        return self.budget is None or self.budget.try_take(throttle, urgent, units, self.now)
 
     def arrive(self, request: Request) -> None:
         if request.id in self.jobs:
@@ -318,7 +318,7 @@
         units = request.units
         throttle.refill(self.now)
         throttle.note_demand(units, self.now)
-        spare = max(worth_until(job) - self.now - self.work_times.of_class(klass.name), 0.0)
+        spare = max(worth_until(job) - self.now - self.work_times.expected_class_seconds(klass.name), 0.0)
         bound = min(HOLD_SHARE * klass.aim, (request.deadline - self.now) / 2, spare)
         job.hold_until = self.now + bound
         if throttle.thin:
@@ -398,17 +398,17 @@
         """Asks for units of the ceiling for the head of the buffer and those behind; seconds until it can."""
         lease, first = throttle.lease, throttle.queue[0].request.units
         assert lease is not None
-        if lease.asked > 0:
+        if lease.requested > 0:
             return inf
         if not self.may_lease():
             return throttle.part_wait(first)
         if self.now < lease.retry_at:
             return min(lease.retry_at - self.now, throttle.part_wait(first))
         if not self.may_call(throttle, units=first):
-            return min(lease.terms.life, throttle.part_wait(first))
+            return min(lease.terms.name_ttl, throttle.part_wait(first))
         have = throttle.cap + lease.available(self.now)
-        lease.ask(min(self.units_due(throttle) - have, lease.terms.units), self.now)
-        self.actions.append(AddToCounter(f"{throttle.customer}.{LEASE_NAME}", lease.asked, lease.terms.life))
+        lease.start_request(min(self.units_due(throttle) - have, lease.terms.units), self.now)
+        self.actions.append(AddToCounter(f"{throttle.customer}.{LEASE_NAME}", lease.requested, lease.terms.name_ttl))
         return inf
 
     def units_due(self, throttle: Throttle) -> float:
@@ -424,12 +424,12 @@
     def lease_told(self, throttle: Throttle, event: CounterCallEnded) -> None:
         """The counter's word on a call for units of the ceiling."""
         lease = throttle.lease
-        if lease is None or lease.asked <= 0:
+        if lease is None or lease.requested <= 0:
             return
         if event.outcome is Outcome.SERVED:
-            lease.take_grant(event.total, self.now, self.random.random())
+            lease.apply_grant(event.total, self.now, self.random.random())
         else:
-            lease.take_failure()
+            lease.apply_failure()
         self.release(throttle)
 
     def join(self, request: Request, plan: Plan) -> Throttle:
@@ -474,7 +474,7 @@
         if self.handed:
             return  # the successor counts for both
         if throttle.thin:
-            waits = self.budget is not None and self.budget.covers(throttle, 0.0, self.now)
+            waits = self.budget is not None and self.budget.covered_by_reading(throttle, 0.0, self.now)
             if throttle.uncounted and not waits and self.now >= self.quiet_until and self.may_call(throttle):
                 self.count_use(throttle, 0.0)
             elif throttle.uncounted and self.budget is not None:
@@ -511,7 +511,7 @@
             if not lone:  # one late among prompt ones, or one of several aggregators
                 self.quiet_until = self.now + PERIOD * 2 ** self.count_fails / 8
             if not lone and self.budget is not None:
-                self.budget.tokens, self.budget.filled = 0.0, self.quiet_until  # no burst at its return
+                self.budget.tokens, self.budget.refilled_at = 0.0, self.quiet_until  # no burst at its return
             if event.outcome is not Outcome.NO_CONNECTION and self.count_fails < 3:  # crowded, not silent
                 self.counted_part = max(self.counted_part * COUNT_LESS, LEAST_PART)
         if throttle is not None and event.name.endswith(f".{LEASE_NAME}"):
@@ -545,7 +545,7 @@
         even = self.now >= throttle.read_until
         if even and throttle.share == 1.0:
             throttle.set_share(1.0 / throttle.width, self.now)
-        trusted = self.budget is not None and self.budget.covers(throttle, units, self.now)
+        trusted = self.budget is not None and self.budget.covered_by_reading(throttle, units, self.now)
         if trusted or throttle.asking or self.now < max(throttle.fresh_until, self.quiet_until):
             return
         wait = throttle.wait(units)
@@ -558,7 +558,7 @@
                 throttle.read_until = self.now
                 throttle.set_share(1.0 / throttle.width, self.now)
                 passes = not self.doubtful(throttle.plan, throttle.wait(units) <= 0)
-            job.admit_unchecked = passes and (self.budget is None or self.budget.may_wait(throttle, units))
+            job.admit_unchecked = passes and (self.budget is None or self.budget.may_defer(throttle, units))
             job.reported_units = 0.0 if job.admit_unchecked and self.budget is not None else -1.0
             return
         job.covered_by_slice, job.reported_units = (
@@ -611,7 +611,7 @@
             burst = throttle.plan.burst
             spare = throttle.plan.rate * (self.now % EPOCH) - event.total  # unused, were there no burst
             twice = call[3] - max(0.0, spare + call[2] + call[3])  # others put it right before this call came
-            trusted = self.budget.note(throttle, event, call[3], spare, self.now) if self.budget else 0.0
+            trusted = self.budget.record_reading(throttle, event, call[3], spare, self.now) if self.budget else 0.0
             throttle.correction = {}
             if call[3] > 0 and twice > EPS:
                 self.put_right(throttle, event.name, -twice)
@@ -710,7 +710,7 @@
         """
         if not weighted:
             return pool[int(self.random.random() * len(pool))]
-        if self.now >= self.weigh_at or self.serving.changed and len(self.drawable) <= FEW_TO_WEIGH:
+        if self.now >= self.weigh_at or self.serving.weights_outdated and len(self.drawable) <= FEW_TO_WEIGH:
             self.weigh()
         total = self.weights[-1] if self.weights else 0.0
         if total <= 0:
@@ -725,7 +725,7 @@
         """
         if self.now >= self.warm_up_at:
             self.warm_up()
-        self.sizes = self.serving.sizes()
+        self.sizes = self.serving.relative_ratings()
         width = self.cover(self.order)
         while True:
             self.drawable = self.serving.ranked_below(width, self.settings.gateways)
@@ -737,7 +737,7 @@
             width *= 2
         self.weights = list(accumulate(weights))
         self.weigh_at = self.now + WEIGH_EVERY * max(1.0, len(self.drawable) / FEW_TO_WEIGH)
-        self.serving.changed = False
+        self.serving.weights_outdated = False
 
     def warm_up(self) -> None:
         """Looks at all cold ones, less often where there are many."""
@@ -879,11 +879,11 @@
         self.relieved_since = min(self.relieved_since, self.now) if self.passed <= RELIEVED else inf
 
     @property
-    def load(self) -> Load:
+    def load(self) -> SheddingState:
         """Whether answers show what the work takes, as far as this gateway knows."""
         if self.passed >= NONE_SHED:
-            return Load.NONE_SHED
-        return Load.RELIEVED if self.now - self.relieved_since >= RELIEVED_AFTER else Load.SHEDDING
+            return SheddingState.NOT_SHEDDING
+        return SheddingState.LIGHTLY_LOADED if self.now - self.relieved_since >= RELIEVED_AFTER else SheddingState.SHEDDING
 
     def late_after(self, job: Job, server: Server) -> float:
         """Seconds after its send from which an attempt counts as late.
@@ -892,7 +892,7 @@
         docs/incidents/2026-12-heavy-classes.md
         """
         least = LATE_AT * job.request_class.aim
-        work = self.work_times.of(
+        work = self.work_times.expected_seconds(
             job.request_class.name, units_kind(job.request.units), server.backend.machine_type)
         if work is None:
             return least
@@ -1117,7 +1117,7 @@
             before = self.usual.get(key, elapsed)
             self.usual[key] = before + BLEND / 3 * (elapsed - before)
         name, slow = server.backend.machine_type, elapsed / max(attempt.expected_time, 1e-4)
-        self.work_times.note(job.request_class.name, units, name, elapsed, attempt.load, self.now)
+        self.work_times.add_answer(job.request_class.name, units, name, elapsed, attempt.load, self.now)
         self.kinds[name] = self.kinds.get(name, 1.0) + BLEND / 3 * (slow - self.kinds.get(name, 1.0))
         return None
 
@@ -1297,7 +1297,7 @@
         self.now = max(self.now, now)
         self.handed = True
         self.retry_credit /= 2
-        return take_state(self)
+        return export_state(self)
 
     def inherit(self, state: Mapping[str, Any]) -> None:
         """Goes on where another process stopped; of one that did not hand over there are only the bans."""
--- a/embersill/net/listing.py
+++ b/embersill/net/listing.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from embersill.interface import Backend, ListKind, BackendStatus
-from embersill.settings import STATUSES
+from embersill.settings import BACKEND_STATUSES
 
 log = logging.getLogger("embersill")
 
@@ -61,7 +61,7 @@
 
 def read_entry(entry: dict[str, Any]) -> Entry:
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
-    status = STATUSES.get(str(entry["lifecycle"]), BackendStatus.DRAINING)  # unknown: no work
+    status = BACKEND_STATUSES.get(str(entry["lifecycle"]), BackendStatus.DRAINING)  # unknown: no work
     rating = float(given(entry, "weight", 1.0))
     if not (isfinite(started) and isfinite(rating)):
         raise ValueError(f"no number: {entry['instanceId']} has weight {rating} and start {started}")
@@ -79,7 +79,7 @@
     """A list in discovery's form; BadList says what is wrong with it."""
     try:
         entries = tuple(read_entry(e) for e in loaded["instances"])
-        odd = [str(e["instanceId"]) for e in loaded["instances"] if e["lifecycle"] not in STATUSES]
+        odd = [str(e["instanceId"]) for e in loaded["instances"] if e["lifecycle"] not in BACKEND_STATUSES]
         if odd:
             log.warning("%d entries in an unknown state are set aside: %s", len(odd), " ".join(odd[:5]))
         told = kind or (ListKind.FULL if loaded["reset"] else ListKind.CHANGES)
--- a/embersill/records.py
+++ b/embersill/records.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from embersill.interface import Request, RequestClass
-from embersill.work_times import Load
+from embersill.work_times import SheddingState
 
 if TYPE_CHECKING:
     from embersill.control import Server, Throttle
@@ -51,7 +51,7 @@
     """
 
     def __init__(
-        self, server: Server, now: float, expected_time: float, late_after: float, load: Load
+        self, server: Server, now: float, expected_time: float, late_after: float, load: SheddingState
     ) -> None:
         self.server, self.sent_at, self.expected_time = server, now, expected_time
         self.late_after = late_after  # seconds after which a missing answer counts as a sign of overload
--- a/embersill/serving_set.py
+++ b/embersill/serving_set.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class KindRatings:
+class MachineTypeRatings:
     """The ratings of the machines of one kind, summed up."""
 
     total: float = 0.0
@@ -44,13 +44,13 @@
 
 
 @dataclass(slots=True)
-class Filed:
+class IndexEntry:
     """Under what a server stands, so that it is found again whatever the list says of it by then."""
 
-    kind: str
+    machine_type: str
     rating: float
     groups: list[IndexedList]
-    number: int  # in the order in which they were put in
+    sequence: int  # in the order in which they were put in
 
 
 class ServingSet:
@@ -59,58 +59,58 @@
     def __init__(self, scopes: frozenset[DedupScope]) -> None:
         """`scopes`: those in which backends drop repeats, by which servers have to be found."""
         self.scopes = scopes
-        self.by_zone, self.by_cell = DedupScope.ZONE in scopes, DedupScope.CELL in scopes
+        self.index_zones, self.index_cells = DedupScope.ZONE in scopes, DedupScope.CELL in scopes
         self.all = IndexedList()
-        self.filed: dict[Server, Filed] = {}
-        self.added = 0  # servers so far
+        self.entries: dict[Server, IndexEntry] = {}
+        self.added_count = 0  # servers so far
         self.zones: defaultdict[str, IndexedList] = defaultdict(IndexedList)
         self.cells: defaultdict[int, IndexedList] = defaultdict(IndexedList)
         self.ranks: defaultdict[int, IndexedList] = defaultdict(IndexedList)  # by this gateway's place there
-        self.kinds: defaultdict[str, KindRatings] = defaultdict(KindRatings)
+        self.ratings_by_type: defaultdict[str, MachineTypeRatings] = defaultdict(MachineTypeRatings)
         self.cold: dict[Server, None] = {}  # those that were cold when they were last looked at
-        self.changed = True  # since the draw's weights were last made
+        self.weights_outdated = True  # since the draw's weights were last made
 
     def __len__(self) -> int:
         return len(self.all.items)
 
     def __contains__(self, server: object) -> bool:
-        return server in self.filed
+        return server in self.entries
 
     def add(self, server: Server, is_cold: bool) -> None:
         """Puts in a server that is not in yet."""
         backend = server.backend
         lists = [self.all, self.ranks[server.place]]
-        if self.by_zone:
+        if self.index_zones:
             lists.append(self.zones[backend.zone])
-        if self.by_cell:
+        if self.index_cells:
             lists.append(self.cells[backend.cell])
         for each in lists:
             each.positions[server] = len(each.items)
             each.items.append(server)
         rating = max(backend.rating, 0.0)
-        ratings = self.kinds[backend.machine_type]
+        ratings = self.ratings_by_type[backend.machine_type]
         ratings.total += rating
         ratings.machines += 1
-        self.added += 1
-        self.filed[server] = Filed(backend.machine_type, rating, lists, self.added)
+        self.added_count += 1
+        self.entries[server] = IndexEntry(backend.machine_type, rating, lists, self.added_count)
         if is_cold:
             self.cold[server] = None
-        self.changed = True
+        self.weights_outdated = True
 
     def discard(self, server: Server) -> None:
         """Takes a server out, if it is in."""
-        filed = self.filed.pop(server, None)
+        filed = self.entries.pop(server, None)
         if filed is None:
             return
         for each in filed.groups:
             each.remove(server)
-        ratings = self.kinds[filed.kind]
+        ratings = self.ratings_by_type[filed.machine_type]
         ratings.total -= filed.rating
         ratings.machines -= 1
         if not ratings.machines:
-            del self.kinds[filed.kind]
+            del self.ratings_by_type[filed.machine_type]
         self.cold.pop(server, None)
-        self.changed = True
+        self.weights_outdated = True
 
     def group(self, scope: DedupScope, key: str | int) -> Sequence[Server]:
         """The servers of a zone or cell, or all of them."""
@@ -125,12 +125,12 @@
             return list(self.all.items)
         lists = (self.ranks.get(rank) for rank in range(width))
         found = [server for each in lists if each is not None for server in each.items]
-        found.sort(key=lambda server: self.filed[server].number)  # the same draws whatever the ranks
+        found.sort(key=lambda server: self.entries[server].sequence)  # the same draws whatever the ranks
         return found
 
-    def sizes(self) -> dict[str, float]:
+    def relative_ratings(self) -> dict[str, float]:
         """The mean rating of each kind against that of all: a single backend's may be rough."""
-        mean = sum(ratings.total for ratings in self.kinds.values()) / max(len(self), 1)
-        if mean <= 0 or len(self.kinds) < 2:
+        mean = sum(ratings.total for ratings in self.ratings_by_type.values()) / max(len(self), 1)
+        if mean <= 0 or len(self.ratings_by_type) < 2:
             return {}
-        return {kind: ratings.total / ratings.machines / mean or 1.0 for kind, ratings in self.kinds.items()}
+        return {kind: ratings.total / ratings.machines / mean or 1.0 for kind, ratings in self.ratings_by_type.items()}
--- a/embersill/settings.py
+++ b/embersill/settings.py
@@ -9,13 +9,13 @@
     AggregationSettings, BackendStatus, DedupScope, Plan, PoolSettings, RepeatPolicy, RequestClass, Settings,
 )
 
-REPEATS = {"repeatable": RepeatPolicy.SAFE, "by_key": RepeatPolicy.BY_KEY, "once": RepeatPolicy.ONCE}
-SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
-STATUSES = {
+REPEAT_POLICIES = {"repeatable": RepeatPolicy.SAFE, "by_key": RepeatPolicy.BY_KEY, "once": RepeatPolicy.ONCE}
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+BACKEND_STATUSES = {
     "SERVING": BackendStatus.SERVING, "DRAINING": BackendStatus.DRAINING, "DELETED": BackendStatus.REMOVED}
 
 
-def take(source: dict[str, Any], key: str) -> Any:
+def require_key(source: dict[str, Any], key: str) -> Any:
     if not isinstance(source, dict) or key not in source:
         raise ValueError(f"settings: missing key {key}")
     return source[key]
@@ -23,10 +23,10 @@
 
 def read_settings(env: dict[str, Any]) -> Settings:
     """The settings of an instance from its first message; ValueError names a key that is missing or wrong."""
-    limits, rules, domain = take(env, "limits"), take(env, "rules"), take(env, "domain")
+    limits, rules, domain = require_key(env, "limits"), require_key(env, "rules"), require_key(env, "domain")
 
     def number(source: dict[str, Any], key: str) -> float:
-        value = take(source, key)
+        value = require_key(source, key)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise ValueError(f"settings: {key} is not a number")
         return float(value)
@@ -35,57 +35,57 @@
         return number(source, key) / 1000.0
 
     def named(table: dict[str, Any], source: dict[str, Any], key: str) -> Any:
-        value = take(source, key)
+        value = require_key(source, key)
         if value not in table:
             raise ValueError(f"settings: {key} has an unknown value {value!r}")
         return table[value]
 
     def request_class(source: dict[str, Any]) -> RequestClass:
-        repeats = named(REPEATS, source, "semantics")
+        repeats = named(REPEAT_POLICIES, source, "semantics")
         keyed = repeats is RepeatPolicy.BY_KEY  # the group and the window of repeats say nothing of others
         deadline = seconds(source, "deadline")
         return RequestClass(
-            name=take(source, "name"), repeat_policy=repeats,
-            dedup_scope=named(SCOPES, source, "dedup_scope") if keyed else DedupScope.ALL,
+            name=require_key(source, "name"), repeat_policy=repeats,
+            dedup_scope=named(DEDUP_SCOPES, source, "dedup_scope") if keyed else DedupScope.ALL,
             memory=seconds(source, "memory_span") if keyed else 0.0,
             aim=min(seconds(source, "aim"), deadline),  # nobody waits any longer
             deadline=deadline, late_worth_share=number(source, "late_share"), worth=number(source, "credit"),
-            stream=bool(take(source, "stream")),
+            stream=bool(require_key(source, "stream")),
         )
 
-    classes = tuple(request_class(c) for c in take(env, "services"))
+    classes = tuple(request_class(c) for c in require_key(env, "services"))
     plans = tuple(
         Plan(
-            name=take(p, "name"), rate=number(p, "units_per_s"), burst=number(p, "peak_units"),
+            name=require_key(p, "name"), rate=number(p, "units_per_s"), burst=number(p, "peak_units"),
             concurrency=int(number(p, "concurrency")), ceiling_rate=number(p, "hard_rate"),
             ceiling_depth=number(p, "cap_depth"), worth_factor=number(p, "value_factor"),
             over_quota_worth=number(p, "extra_worth"), over_quota_cost=number(p, "overrun_cost"),
         )
-        for p in take(env, "packages")
+        for p in require_key(env, "packages")
     )
-    counter = bool(take(domain, "counter"))
+    counter = bool(require_key(domain, "counter"))
     return Settings(
         gateway_index=int(number(env, "me")), gateways=int(number(env, "balancers")),
         classes=classes, plans=plans,
-        zone=take(env, "zone"), list_pushed=take(env, "membership_mode") == "pushed",
+        zone=require_key(env, "zone"), list_pushed=require_key(env, "membership_mode") == "pushed",
         ask_every=seconds(rules, "ask_every"), counter=counter,
         counter_timeout=seconds(domain, "count_limit") if counter else 0.0,
         counter_call_cost=number(domain, "count_fee") if counter else 0.0,
-        may_cancel=bool(take(limits, "cancel")), may_probe=bool(take(limits, "may_probe")),
-        may_hedge=bool(take(limits, "second_copies")), max_attempts=int(number(limits, "max_attempts")),
+        may_cancel=bool(require_key(limits, "cancel")), may_probe=bool(require_key(limits, "may_probe")),
+        may_hedge=bool(require_key(limits, "second_copies")), max_attempts=int(number(limits, "max_attempts")),
         max_retry_after=seconds(limits, "max_retry_after"),
         cold_from=number(rules, "cold_from"), warm_within=seconds(rules, "warm_within"),
         fall_multiple=number(rules, "fall_multiple"), overload_for=seconds(rules, "overload_for"),
-        report_fields=tuple(take(take(env, "report"), "fields")), max_units=number(domain, "max_units"),
-        post_paid=bool(take(domain, "post_paid")),
+        report_fields=tuple(require_key(require_key(env, "report"), "fields")), max_units=number(domain, "max_units"),
+        post_paid=bool(require_key(domain, "post_paid")),
     )
 
 
-GRACE_MS = 1000.0  # for drains, where the rules name none: the protocol's own
+DEFAULT_GRACE_MS = 1000.0  # for drains, where the rules name none: the protocol's own
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ConnectionLimits:
     """What the settings say of connections: the sockets need it, the decisions don't."""
 
     dial_timeout: float
@@ -93,13 +93,13 @@
     grace: float  # after a drain was told, in which sends must cease
 
 
-def read_limits(env: dict[str, Any]) -> Limits:
-    limits = take(env, "limits")
-    dial, keep = float(take(limits, "dial_timeout")), float(take(limits, "keepalive"))
+def read_limits(env: dict[str, Any]) -> ConnectionLimits:
+    limits = require_key(env, "limits")
+    dial, keep = float(require_key(limits, "dial_timeout")), float(require_key(limits, "keepalive"))
     if dial <= 0 or keep <= 0:
         raise ValueError("settings: dial_timeout and keepalive must be above nought")
-    grace = float(take(env, "rules").get("stop_sending_within", GRACE_MS))
-    return Limits(dial / 1000.0, keep / 1000.0, grace / 1000.0)
+    grace = float(require_key(env, "rules").get("stop_sending_within", DEFAULT_GRACE_MS))
+    return ConnectionLimits(dial / 1000.0, keep / 1000.0, grace / 1000.0)
 
 
 # of each number in `pool`, the least and the most that makes sense; those of whole numbers are whole
@@ -151,7 +151,7 @@
     return AggregationSettings(**told)
 
 
-def check(settings: Settings) -> None:
+def validate_settings(settings: Settings) -> None:
     """ValueError with the name of a setting that makes no sense."""
     if settings.gateways < 1 or settings.max_attempts < 1:
         raise ValueError(f"settings: {'gateways' if settings.gateways < 1 else 'max_attempts'} is below 1")
--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -21,14 +21,14 @@
     ("born", "judged", "quiet_until", "stamp", "read_until", "fresh_until", "started", "touched"))
 
 
-def take_state(gateway: Gateway) -> dict[str, Any]:
+def export_state(gateway: Gateway) -> dict[str, Any]:
     """All that a successor must know. The customers' credit goes with it and is no longer the gateway's."""
     return {
         "now": gateway.now,
-        "gateway": fields_of(gateway, GATEWAY_STATE),
-        "throttles": [take_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
-        "servers": [[address, server.backend.started_at, fields_of(server, SERVER_STATE)]
-                    for address, server in gateway.servers.items() if is_known(server, gateway)],
+        "gateway": read_fields(gateway, GATEWAY_STATE),
+        "throttles": [export_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
+        "servers": [[address, server.backend.started_at, read_fields(server, SERVER_STATE)]
+                    for address, server in gateway.servers.items() if has_learned_state(server, gateway)],
         "banned": sorted(gateway.banned), "known": sorted(gateway.known), "greet": gateway.greet,
         "usual": [[*key, value] for key, value in gateway.usual.items()], "kinds": gateway.kinds,
         "work_times": gateway.work_times.state(),
@@ -36,24 +36,24 @@
     }
 
 
-def is_known(server: Server, gateway: Gateway) -> bool:
+def has_learned_state(server: Server, gateway: Gateway) -> bool:
     """True where something was learned of a backend: of thousands most have not been used."""
     learned = server.bad or server.flight or server.calls or server.started != server.backend.started_at
     return bool(learned) or server.limit != gateway.start_limit()
 
 
-def fields_of(source: Gateway | Server | Throttle, names: tuple[str, ...]) -> dict[str, Any]:
+def read_fields(source: Gateway | Server | Throttle, names: tuple[str, ...]) -> dict[str, Any]:
     return {name: getattr(source, name) for name in names}
 
 
-def take_throttle(throttle: Throttle, now: float) -> list[Any]:
+def export_throttle(throttle: Throttle, now: float) -> list[Any]:
     """Held requests are charged to the level already, and are taken off the ceiling's store in advance.
 
     This process sends no more than those. Until it has ended the successor's part is smaller by as much: it
     would else be full again before they are sent.
     """
     throttle.refill(now)
-    state = fields_of(throttle, THROTTLE_STATE)
+    state = read_fields(throttle, THROTTLE_STATE)
     kept = throttle.held if throttle.lease is None else min(throttle.held, throttle.cap)
     state["cap"] -= kept
     state["cap_kept"] = kept
@@ -68,14 +68,14 @@
     `clock_ahead`: seconds by which this process's clock is ahead of the other's; older versions tell none.
     """
     ahead = float(state.get("clock_ahead", 0.0))
-    restore_fields(gateway, gateway, by_own_clock(state["gateway"], ahead), "flight")
+    restore_fields(gateway, gateway, to_local_clock(state["gateway"], ahead), "flight")
     for address, listed, figures in state["servers"]:
         server = gateway.servers.get(address)
         if server is not None and server.backend.started_at == listed:
-            restore_fields(gateway, server, by_own_clock(figures, ahead), "flight")
+            restore_fields(gateway, server, to_local_clock(figures, ahead), "flight")
     for customer, plan, width, figures in state["throttles"]:
         if plan in gateway.plans:
-            restore_throttle(gateway, customer, plan, width, by_own_clock(figures, ahead))
+            restore_throttle(gateway, customer, plan, width, to_local_clock(figures, ahead))
     gateway.greet = {address: due + ahead for address, due in state["greet"].items()}
     gateway.kinds = dict(state["kinds"])
     gateway.usual = {(klass, units): value for klass, units, value in state["usual"]}
@@ -83,7 +83,7 @@
     gateway.granted.update({(name, sure): value for name, sure, value in state["granted"]})
 
 
-def by_own_clock(figures: Mapping[str, Any], ahead: float) -> dict[str, Any]:
+def to_local_clock(figures: Mapping[str, Any], ahead: float) -> dict[str, Any]:
     """Another process's moments as those of a clock that is so many seconds ahead of its own."""
     moved = {name: value + ahead if name in MOMENTS and value is not None else value
              for name, value in figures.items()}
--- a/embersill/work_times.py
+++ b/embersill/work_times.py
@@ -17,69 +17,69 @@
 from enum import Enum
 from math import exp
 
-FOLLOW_OVER = 60.0  # seconds over which an average follows answers while nothing is shed
-FIRST_ANSWERS = 16  # of which the average is taken whatever is shed
+AVERAGING_TIME = 60.0  # seconds over which an average follows answers while nothing is shed
+INITIAL_ANSWERS = 16  # of which the average is taken whatever is shed
 SHED_BATCH = 32  # answers whose average may lower the one that is known
-CLEARLY_LOWER = 0.7  # times the known average, below which theirs is no chance
+LOWERING_THRESHOLD = 0.7  # times the known average, below which theirs is no chance
 PROVEN_AFTER = 5.0  # seconds with nothing shed in which an average proves not to be an overload's own
-UNPROVEN_FOR = 2.0  # seconds of shedding in which one that did not prove itself falls to a third
-RELIEVED_BATCH = 3  # answers of idle backends that replace it
-MOST_KEPT = 4096  # averages; those kept longest make room
+UNPROVEN_DECAY_TIME = 2.0  # seconds of shedding in which one that did not prove itself falls to a third
+LIGHTLY_LOADED_BATCH = 3  # answers of idle backends that replace it
+MAX_AVERAGES = 4096  # averages; those kept longest make room
 
 Key = tuple[str, float, str]  # class, kind of units, kind of machine
 
 
-class Load(Enum):
+class SheddingState(Enum):
     """What a gateway does about overload at present."""
 
-    NONE_SHED = "none shed"
+    NOT_SHEDDING = "none shed"
     SHEDDING = "shedding"
-    RELIEVED = "relieved"  # it has shed all but the least part for some time
+    LIGHTLY_LOADED = "relieved"  # it has shed all but the least part for some time
 
 
 class AverageTime:
     """The average time of one kind of request, in seconds."""
 
-    __slots__ = ("seconds", "answers", "noted_at", "batch", "load", "load_since", "proven")
+    __slots__ = ("seconds", "answers", "updated_at", "batch", "load", "load_since", "proven")
 
     def __init__(self, seconds: float, now: float, answers: int = 1) -> None:
-        self.seconds, self.answers, self.noted_at = seconds, answers, now
+        self.seconds, self.answers, self.updated_at = seconds, answers, now
         self.batch: list[float] = []
-        self.load, self.load_since = Load.NONE_SHED, now
+        self.load, self.load_since = SheddingState.NOT_SHEDDING, now
         self.proven = False
 
-    def note(self, elapsed: float, load: Load, now: float) -> None:
+    def add_answer(self, elapsed: float, load: SheddingState, now: float) -> None:
         """Takes in one answer."""
         if load is not self.load:
             self.batch, self.load, self.load_since = [], load, now
-        if load is Load.NONE_SHED or load is Load.SHEDDING and self.answers < FIRST_ANSWERS:
-            self.follow(elapsed, now)
+        if load is SheddingState.NOT_SHEDDING or load is SheddingState.SHEDDING and self.answers < INITIAL_ANSWERS:
+            self.update_average(elapsed, now)
         else:
             self.batch.append(elapsed)
-            self.judge_batch()
-            self.doubt(now)
-        self.noted_at = now
+            self.evaluate_batch()
+            self.decay_unproven(now)
+        self.updated_at = now
 
-    def doubt(self, now: float) -> None:
+    def decay_unproven(self, now: float) -> None:
         """Lowers what may be an overload's own: if it was the work, all will be shed, and that shows it."""
-        if self.load is Load.SHEDDING and not self.proven:
-            self.seconds *= exp((self.noted_at - now) / UNPROVEN_FOR)
+        if self.load is SheddingState.SHEDDING and not self.proven:
+            self.seconds *= exp((self.updated_at - now) / UNPROVEN_DECAY_TIME)
 
-    def follow(self, elapsed: float, now: float) -> None:
+    def update_average(self, elapsed: float, now: float) -> None:
         self.answers += 1
-        self.proven |= self.load is Load.NONE_SHED and now - self.load_since >= PROVEN_AFTER
-        weight = 1.0 - exp((self.noted_at - now) / FOLLOW_OVER)
-        if self.answers <= FIRST_ANSWERS:
+        self.proven |= self.load is SheddingState.NOT_SHEDDING and now - self.load_since >= PROVEN_AFTER
+        weight = 1.0 - exp((self.updated_at - now) / AVERAGING_TIME)
+        if self.answers <= INITIAL_ANSWERS:
             weight = max(weight, 1.0 / self.answers)
         self.seconds += weight * (elapsed - self.seconds)
 
-    def judge_batch(self) -> None:
-        relieved = self.load is Load.RELIEVED
-        if len(self.batch) < (RELIEVED_BATCH if relieved else SHED_BATCH):
+    def evaluate_batch(self) -> None:
+        relieved = self.load is SheddingState.LIGHTLY_LOADED
+        if len(self.batch) < (LIGHTLY_LOADED_BATCH if relieved else SHED_BATCH):
             return
         average = sum(self.batch) / len(self.batch)
-        if relieved or average < CLEARLY_LOWER * self.seconds:
-            self.seconds, self.answers = average, max(self.answers, FIRST_ANSWERS)
+        if relieved or average < LOWERING_THRESHOLD * self.seconds:
+            self.seconds, self.answers = average, max(self.answers, INITIAL_ANSWERS)
             self.proven |= relieved
         self.batch = []
 
@@ -90,28 +90,28 @@
     def __init__(self) -> None:
         self.averages: dict[Key, AverageTime] = {}
 
-    def note(self, klass: str, units: float, machine: str, elapsed: float, load: Load, now: float) -> None:
+    def add_answer(self, klass: str, units: float, machine: str, elapsed: float, load: SheddingState, now: float) -> None:
         """Takes in a good answer. `units`: the kind that they are kept by."""
         for key in ((klass, units, machine), (klass, 0.0, "")):
             average = self.averages.get(key)
             if average is None:
-                self.keep(key, AverageTime(elapsed, now))
+                self.store(key, AverageTime(elapsed, now))
             else:
-                average.note(elapsed, load, now)
+                average.add_answer(elapsed, load, now)
 
-    def of(self, klass: str, units: float, machine: str) -> float | None:
+    def expected_seconds(self, klass: str, units: float, machine: str) -> float | None:
         """Seconds that such a request takes; None where nothing of its class was answered yet."""
         average = self.averages.get((klass, units, machine)) or self.averages.get((klass, 0.0, ""))
         return None if average is None else average.seconds
 
-    def of_class(self, klass: str) -> float:
+    def expected_class_seconds(self, klass: str) -> float:
         """Seconds that a request of a class takes; 0 where nothing was answered yet."""
         average = self.averages.get((klass, 0.0, ""))
         return 0.0 if average is None else average.seconds
 
-    def keep(self, key: Key, average: AverageTime) -> None:
+    def store(self, key: Key, average: AverageTime) -> None:
         self.averages[key] = average
-        if len(self.averages) > MOST_KEPT:
+        if len(self.averages) > MAX_AVERAGES:
             del self.averages[next(iter(self.averages))]
 
     def state(self) -> list[list[str | float]]:
@@ -122,4 +122,4 @@
         """Takes over what `state` told."""
         for klass, units, machine, seconds, answers in rows:
             average = AverageTime(float(seconds), now, int(answers))
-            self.keep((str(klass), float(units), str(machine)), average)
+            self.store((str(klass), float(units), str(machine)), average)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -85,61 +85,61 @@
     return made
 
 
-class Watch:
+class CheckedGateway:
     """Plays a client, backends and timers around one gateway and asserts the rules on each action."""
 
     def __init__(self, made: Gateway, settings: Settings = SETTINGS) -> None:
         self.gateway, self.settings = made, settings
         self.classes = {c.name: c for c in settings.classes}
         self.now = 100.0
-        self.open: dict[int, Request] = {}
+        self.open_requests: dict[int, Request] = {}
         self.answered: dict[int, Action] = {}
-        self.sent: dict[int, list[tuple[str, float]]] = {}
+        self.attempts: dict[int, list[tuple[str, float]]] = {}
         self.outcomes: dict[int, dict[int, Outcome]] = {}
         self.timers: list[tuple[float, str]] = []
-        self.counts: list[str] = []
+        self.pending_counts: list[str] = []
         self.listed: dict[str, Backend] = {}
         self.first_units: dict[str, list[tuple[float, float]]] = {}
 
-    def out(self, number: int) -> list[int]:
-        return [n for n in range(len(self.sent.get(number, []))) if n not in self.outcomes.get(number, {})]
+    def in_flight(self, number: int) -> list[int]:
+        return [n for n in range(len(self.attempts.get(number, []))) if n not in self.outcomes.get(number, {})]
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         if isinstance(event, BackendList) and event.kind is not ListKind.FAILED:
             if event.kind is not ListKind.CHANGES:
                 self.listed = {}
             self.listed.update({b.address: b for b in event.backends})
         if isinstance(event, Request):
-            self.open[event.id] = event
+            self.open_requests[event.id] = event
         if isinstance(event, AttemptEnded):
             self.outcomes.setdefault(event.request, {})[event.attempt] = event.outcome
             if event.request_ended:
-                self.open.pop(event.request, None)
+                self.open_requests.pop(event.request, None)
         if isinstance(event, ClientDisconnected):
-            self.open.pop(event.request, None)
+            self.open_requests.pop(event.request, None)
         actions = self.gateway.handle(event, self.now)
         for action in actions:
             self.check(action)
         return actions
 
-    def risky(self, number: int) -> list[int]:
+    def possibly_run(self, number: int) -> list[int]:
         gone = self.outcomes.get(number, {})
-        return [n for n in range(len(self.sent.get(number, []))) if n not in gone or not gone[n].never_ran]
+        return [n for n in range(len(self.attempts.get(number, []))) if n not in gone or not gone[n].never_ran]
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert action.delay > 0
             self.timers.append((self.now + action.delay, action.key))
         elif isinstance(action, AddToCounter):
-            self.counts.append(action.name)
+            self.pending_counts.append(action.name)
         elif isinstance(action, Send):
-            asked = self.open[action.request]  # a send for a request that is over breaks a rule
-            klass, tries = self.classes[asked.request_class], self.sent.setdefault(action.request, [])
+            asked = self.open_requests[action.request]  # a send for a request that is over breaks a rule
+            klass, tries = self.classes[asked.request_class], self.attempts.setdefault(action.request, [])
             target = self.listed[action.backend]
             assert target.status is BackendStatus.SERVING
-            assert self.settings.may_hedge or not self.out(action.request)
+            assert self.settings.may_hedge or not self.in_flight(action.request)
             assert len(tries) < self.settings.max_attempts
-            risky = self.risky(action.request)
+            risky = self.possibly_run(action.request)
             if risky:
                 assert klass.repeat_policy is not RepeatPolicy.ONCE
                 if klass.repeat_policy is RepeatPolicy.BY_KEY:
@@ -150,10 +150,10 @@
                 self.first_units.setdefault(asked.customer, []).append((self.now, asked.units))
             tries.append((action.backend, self.now))
         elif isinstance(action, Refuse | Fail):
-            asked = self.open.pop(action.request)  # a second answer breaks a rule
+            asked = self.open_requests.pop(action.request)  # a second answer breaks a rule
             assert self.now <= asked.deadline + 0.008
             klass = self.classes[asked.request_class]
-            if isinstance(action, Refuse) and self.risky(action.request):
+            if isinstance(action, Refuse) and self.possibly_run(action.request):
                 assert klass.repeat_policy is RepeatPolicy.SAFE or (
                     klass.repeat_policy is RepeatPolicy.BY_KEY and klass.dedup_scope is DedupScope.ALL
                 )
@@ -163,22 +163,22 @@
         """Fires the timers that fall due, and times out attempts at their requests' deadlines."""
         while True:
             due = min(self.timers, default=(until + 1, ""))
-            ends = [(r.deadline, n) for n, r in self.open.items() if self.out(n)]
+            ends = [(r.deadline, n) for n, r in self.open_requests.items() if self.in_flight(n)]
             late = min(ends, default=(until + 1, 0))
             if min(due[0], late[0]) > until:
                 break
             if due[0] <= late[0]:
                 self.timers.remove(due)
                 self.now = max(self.now, due[0])
-                self.tell(TimerExpired(due[1]))
+                self.handle(TimerExpired(due[1]))
             else:
                 self.now = max(self.now, late[0])
-                for n in self.out(late[1]):
-                    where, when = self.sent[late[1]][n]
-                    self.tell(ended(late[1], n, where, Outcome.TIMED_OUT, self.now - when, False))
+                for n in self.in_flight(late[1]):
+                    where, when = self.attempts[late[1]][n]
+                    self.handle(ended(late[1], n, where, Outcome.TIMED_OUT, self.now - when, False))
         self.now = until
 
-    def answer_counts(self, total: float, outcome: Outcome = Outcome.SERVED) -> None:
-        names, self.counts = self.counts, []
+    def answer_counter_calls(self, total: float, outcome: Outcome = Outcome.SERVED) -> None:
+        names, self.pending_counts = self.pending_counts, []
         for name in names:
-            self.tell(CounterCallEnded(name, outcome, 0.001, total))
+            self.handle(CounterCallEnded(name, outcome, 0.001, total))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from embersill.adapter import Host, Malformed, serve
+from embersill.adapter import InstanceHost, MalformedInput, serve
 from embersill.settings import read_settings
 
 HERE = pathlib.Path(__file__).parent
@@ -44,7 +44,7 @@
     "frame\t1\nabout\t0\nup\t1\t{}\ngo\n", "frame\t1\nabout\t0\nup\t1\t{bad\ngo\n",
 ])
 def test_malformed_input_is_told(text: str) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInput):
         play(text)
 
 
@@ -83,8 +83,8 @@
 
 
 def test_instances_share_nothing() -> None:
-    host = Host()
+    host = InstanceHost()
     up = next(x for x in FRAMES.splitlines() if x.startswith("up\t"))
-    host.batch(1.0, ["about\t0", up, "about\t1", up])
-    host.batch(1.1, ["about\t1", "retire"])
+    host.run_batch(1.0, ["about\t0", up, "about\t1", up])
+    host.run_batch(1.1, ["about\t1", "retire"])
     assert list(host.gateways) == [0]
--- a/tests/test_call_budget.py
+++ b/tests/test_call_budget.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 
 from embersill.call_budget import (
-    FAR_RESERVE, LEAST_SPAN, LONGEST_TRUST, NEAR, RESERVE, SAFETY, UNTOLD_MOST, UNTOLD_PART, UNTOLD_RESERVE,
-    CallBudget,
+    DEFAULT_RESERVE, FAR_RESERVE, MAX_READING_VALIDITY, MAX_UNREPORTED_SHARE, MIN_READING_INTERVAL,
+    NEAR_QUOTA, UNREPORTED_RESERVE, URGENT_UNREPORTED_SHARE, USE_SAFETY_FACTOR, CallBudget,
 )
 from embersill.control import Gateway, Throttle
 from embersill.interface import (
@@ -180,7 +180,7 @@
 
 def beyond_bound(play: Play, seconds: float) -> float:
     """Units that may be sent on of a quota by docs/quotas-budget.md: by readings, slices, and untold."""
-    untold = len(play.gateways) * max(1.0, UNTOLD_MOST * play.plan.burst)
+    untold = len(play.gateways) * max(1.0, MAX_UNREPORTED_SHARE * play.plan.burst)
     return 2 * (play.plan.rate * seconds + play.plan.burst) + untold
 
 
@@ -243,7 +243,7 @@
 
 
 def noted(budget: CallBudget, throttle: Throttle, total: float, spare: float, now: float) -> float:
-    return budget.note(throttle, CounterCallEnded("c.1", Outcome.SERVED, 0.001, total), 0.0, spare, now) - now
+    return budget.record_reading(throttle, CounterCallEnded("c.1", Outcome.SERVED, 0.001, total), 0.0, spare, now) - now
 
 
 def test_a_reading_is_trusted_no_longer_than_use_with_its_safety_factor_allows() -> None:
@@ -253,30 +253,30 @@
     pace = 3.0
     trust = noted(budget, throttle, 1.0 + pace, 0.0, START + 1.0)
     # by then four times the pace has used half of the burst, and no more
-    assert trust == pytest.approx(plan.burst / 2 / (SAFETY * pace - plan.rate))
+    assert trust == pytest.approx(plan.burst / 2 / (USE_SAFETY_FACTOR * pace - plan.rate))
     assert noted(budget, throttle, 1.0 + pace, -3.9, START + 1.0) < 0.1  # little of that half is left
     assert noted(budget, throttle, 1.0 + pace, -4.0, START + 1.0) <= 0
     slow = CallBudget(BUDGET, START)
     noted(slow, throttle, 1.0, 0.0, START)
-    assert noted(slow, throttle, 1.5, 0.0, START + 1.0) == LONGEST_TRUST  # two a second, of four
-    assert noted(slow, throttle, 9.0, 0.0, START + 1.0 + LEAST_SPAN) < 0.1  # and it rises at once
+    assert noted(slow, throttle, 1.5, 0.0, START + 1.0) == MAX_READING_VALIDITY  # two a second, of four
+    assert noted(slow, throttle, 9.0, 0.0, START + 1.0 + MIN_READING_INTERVAL) < 0.1  # and it rises at once
 
 
 def test_readings_close_together_show_no_pace() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
     noted(budget, throttle, 1.0, 0.0, START)
-    assert noted(budget, throttle, 1.0, 0.0, START + LEAST_SPAN / 2) <= 0
+    assert noted(budget, throttle, 1.0, 0.0, START + MIN_READING_INTERVAL / 2) <= 0
 
 
 def test_corrections_are_not_taken_for_use() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
     noted(budget, throttle, 1.0, 0.0, START)
     event = CounterCallEnded("c.1", Outcome.SERVED, 0.001, 101.0)
-    assert budget.note(throttle, event, 100.0, 0.0, START + 1.0) - START - 1.0 == LONGEST_TRUST
+    assert budget.record_reading(throttle, event, 100.0, 0.0, START + 1.0) - START - 1.0 == MAX_READING_VALIDITY
 
 
 @pytest.mark.parametrize(("used", "reserve"), [
-    (None, RESERVE), (0.0, FAR_RESERVE), (0.49, FAR_RESERVE), (0.5, RESERVE), (0.79, RESERVE), (NEAR, 0.0),
+    (None, DEFAULT_RESERVE), (0.0, FAR_RESERVE), (0.49, FAR_RESERVE), (0.5, DEFAULT_RESERVE), (0.79, DEFAULT_RESERVE), (NEAR_QUOTA, 0.0),
     (3.0, 0.0),
 ])
 def test_a_call_leaves_a_reserve_by_its_customers_distance_from_the_quota(
@@ -287,7 +287,7 @@
         noted(budget, throttle, 1.0, -used * SMALL.burst, START)
     now = START + 100.0
     taken = 0
-    while budget.take(throttle, False, 0.0, now):
+    while budget.try_take(throttle, False, 0.0, now):
         taken += 1
     assert taken == BUDGET.burst * (1 - reserve)
 
@@ -295,18 +295,18 @@
 def test_units_that_may_not_stay_untold_make_a_call_urgent() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
     now = START + 1 / BUDGET.calls_per_second
-    throttle.uncounted = UNTOLD_MOST * SMALL.burst
-    assert not budget.take(throttle, False, 0.0, now)
-    assert budget.take(throttle, False, 0.01, now)
+    throttle.uncounted = MAX_UNREPORTED_SHARE * SMALL.burst
+    assert not budget.try_take(throttle, False, 0.0, now)
+    assert budget.try_take(throttle, False, 0.01, now)
 
 
 def test_units_beyond_a_part_of_the_burst_are_told_before_others() -> None:
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", SMALL, FLEET, START, START, 4.0)
-    now = START + (1.0 + UNTOLD_RESERVE * BUDGET.burst) / BUDGET.calls_per_second + 0.001
-    throttle.uncounted = UNTOLD_PART * SMALL.burst
-    assert not budget.take(throttle, False, 0.0, now)
+    now = START + (1.0 + UNREPORTED_RESERVE * BUDGET.burst) / BUDGET.calls_per_second + 0.001
+    throttle.uncounted = URGENT_UNREPORTED_SHARE * SMALL.burst
+    assert not budget.try_take(throttle, False, 0.0, now)
     throttle.uncounted += 0.01
-    assert budget.take(throttle, False, 0.0, now) and not budget.take(throttle, False, 0.0, now)
+    assert budget.try_take(throttle, False, 0.0, now) and not budget.try_take(throttle, False, 0.0, now)
 
 
 def test_a_request_beyond_the_untold_part_is_not_sent_on_without_a_call() -> None:
@@ -316,7 +316,7 @@
     for _ in range(10):
         play.request("c")
     assert not play.calls
-    assert play.sent["c"] == UNTOLD_MOST * SMALL.burst == gateway.throttles["c"].uncounted
+    assert play.sent["c"] == MAX_UNREPORTED_SHARE * SMALL.burst == gateway.throttles["c"].uncounted
     assert play.refused["c"] == 2
 
 
@@ -437,7 +437,7 @@
     made = [CallBudget(BUDGET, START) for _ in range(FLEET)]
     for step in range(1, 51):
         now = START + step / 50
-        taken = sum(budget.take(throttle, True, 0.0, now) for budget in made for _ in range(3))
+        taken = sum(budget.try_take(throttle, True, 0.0, now) for budget in made for _ in range(3))
         assert taken <= FLEET * BUDGET.calls_per_second / 50 + FLEET
 
 
@@ -520,7 +520,7 @@
 def test_a_plan_without_a_quota_may_take_leases_within_the_budget() -> None:
     plan = replace(SMALL, rate=0.0, burst=0.0, ceiling_rate=15.0, ceiling_depth=41.0)
     budget, throttle = CallBudget(BUDGET, START), Throttle("c", plan, FLEET, START, START, 4.0)
-    assert budget.take(throttle, False, 1.0, START + 10.0)
+    assert budget.try_take(throttle, False, 1.0, START + 10.0)
 
 
 # customers whose demand is counted, among others that take all calls
@@ -597,7 +597,7 @@
     for number in range(200):
         asked = Throttle(f"old{number}", HOT, HOT_SET, START, START, 4.0)
         asked.own = HOT.rate
-        budget.take(asked, False, 0.0, START + 1.0)
+        budget.try_take(asked, False, 0.0, START + 1.0)
     throttle = Throttle("hot", HOT, HOT_SET, START, START, 4.0)
     throttle.own = HOT.rate
-    assert budget.take(throttle, False, 0.0, START + 100.0)
+    assert budget.try_take(throttle, False, 0.0, START + 100.0)
--- a/tests/test_ceiling_fleet.py
+++ b/tests/test_ceiling_fleet.py
@@ -79,7 +79,7 @@
         def with_lease(*told: Any) -> Throttle:
             throttle = new_throttle(*told)
             if throttle.lease is not None and self.now > START:
-                throttle.lease.units, throttle.lease.expires = throttle.lease.terms.units / 2.0, inf
+                throttle.lease.units, throttle.lease.expires_at = throttle.lease.terms.units / 2.0, inf
             return throttle
 
         process.gateway.new_throttle = with_lease  # type: ignore[method-assign, assignment]
@@ -105,17 +105,17 @@
 
 
 def test_a_lapsed_name_that_is_taken_for_a_full_store_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    take_grant = CeilingLease.take_grant
+    take_grant = CeilingLease.apply_grant
 
     def take_full(self: CeilingLease, total: float, now: float, spread: float) -> None:
         terms = self.terms
-        if total <= self.asked:  # the first call of a life
+        if total <= self.requested:  # the first call of a life
             self.terms = replace(terms, units=4.0 * terms.units)
-            self.asked = self.terms.units
+            self.requested = self.terms.units
         take_grant(self, total, now, spread)
         self.terms = terms
 
-    monkeypatch.setattr(CeilingLease, "take_grant", take_full)
+    monkeypatch.setattr(CeilingLease, "apply_grant", take_full)
     assert broken_among(range(400))
 
 
@@ -142,9 +142,9 @@
 ) -> None:
     shares = [share_ceiling(PLAN, width, rank, largest, patience) for rank in range(width)]
     terms = shares[0].terms
-    leased = 0.0 if terms is None else 3.0 * terms.units + terms.units / terms.life * terms.age
+    leased = 0.0 if terms is None else 3.0 * terms.units + terms.units / terms.name_ttl * terms.max_age
     assert sum(share.depth for share in shares) + leased <= PLAN.ceiling_depth + 1e-6
-    granted = 0.0 if terms is None else terms.units / terms.life
+    granted = 0.0 if terms is None else terms.units / terms.name_ttl
     assert sum(share.rate for share in shares) + granted <= PLAN.ceiling_rate + 1e-6
     assert {share.terms for share in shares} == {terms}
     assert max(share.depth for share in shares) >= largest
@@ -160,37 +160,37 @@
 
 
 def lease() -> CeilingLease:
-    return CeilingLease(LeaseTerms(units=10.0, life=1.0, age=0.3))
+    return CeilingLease(LeaseTerms(units=10.0, name_ttl=1.0, max_age=0.3))
 
 
 def test_a_grant_is_what_the_total_leaves_of_the_lifes_units() -> None:
     made = lease()
-    made.ask(4.0, 5.0)
-    made.take_grant(12.0, 5.01, 0.0)  # 8 of 10 were asked for before
+    made.start_request(4.0, 5.0)
+    made.apply_grant(12.0, 5.01, 0.0)  # 8 of 10 were asked for before
     assert made.available(5.01) == 2.0 and made.retry_at == 6.01
     assert made.charge(3.0, 5.02) == 1.0 and made.available(5.02) == 0.0
 
 
 def test_an_unused_lease_lapses_by_the_moment_of_its_call() -> None:
     made = lease()
-    made.ask(4.0, 5.0)
-    made.take_grant(4.0, 5.2, 0.0)
+    made.start_request(4.0, 5.0)
+    made.apply_grant(4.0, 5.2, 0.0)
     assert made.available(5.29) == 4.0 and made.available(5.3) == 0.0
 
 
 def test_a_further_lease_does_not_prolong_the_one_before() -> None:
     made = lease()
     for moment in (5.0, 5.2):
-        made.ask(1.0, moment)
-        made.take_grant(1.0, moment, 0.0)
+        made.start_request(1.0, moment)
+        made.apply_grant(1.0, moment, 0.0)
     assert made.available(5.29) == 2.0 and made.available(5.31) == 0.0
 
 
 def test_what_a_failed_call_may_have_added_is_nobodys() -> None:
     made = lease()
-    made.ask(4.0, 5.0)
-    made.take_failure()
-    assert made.available(5.0) == 0.0 and made.asked == 0.0
+    made.start_request(4.0, 5.0)
+    made.apply_failure()
+    assert made.available(5.0) == 0.0 and made.requested == 0.0
 
 
 def test_a_silent_counter_refuses_at_once_but_for_the_first_gateway() -> None:
--- a/tests/test_heavy_classes.py
+++ b/tests/test_heavy_classes.py
@@ -23,7 +23,7 @@
     AttemptEnded, Event, Outcome, Plan, PredecessorState, Request, Send, SetTimer, TimerExpired,
 )
 from embersill.work_times import (
-    FIRST_ANSWERS, MOST_KEPT, SHED_BATCH, UNPROVEN_FOR, AverageTime, Load, WorkTimes,
+    INITIAL_ANSWERS, MAX_AVERAGES, SHED_BATCH, UNPROVEN_DECAY_TIME, AverageTime, SheddingState, WorkTimes,
 )
 from tests.helpers import PLAN, SAFE, backend, backends, ended, gateway, request
 
@@ -141,7 +141,7 @@
     state = json.loads(json.dumps(fleet.gateway.hand_over(500.0)))
     successor = IdleFleet(0.5, lambda at: 0.4)
     successor.gateway.handle(PredecessorState(state), 500.0)
-    assert successor.gateway.work_times.of("read", 1.0, "k") == pytest.approx(0.4)
+    assert successor.gateway.work_times.expected_seconds("read", 1.0, "k") == pytest.approx(0.4)
     old_form = {name: value for name, value in state.items() if name != "work_times"}
     successor.gateway.handle(PredecessorState(old_form), 500.0)
 
@@ -149,41 +149,41 @@
 def test_a_slow_kind_of_machine_is_known_apart() -> None:
     times = WorkTimes()
     for _ in range(40):
-        times.note("read", 1.0, "fast", 0.1, Load.NONE_SHED, 100.0)
-        times.note("read", 1.0, "slow", 0.6, Load.NONE_SHED, 100.0)
-    assert times.of("read", 1.0, "fast") == pytest.approx(0.1)
-    assert times.of("read", 1.0, "slow") == pytest.approx(0.6)
-    unseen = times.of("read", 4.0, "fast")
+        times.add_answer("read", 1.0, "fast", 0.1, SheddingState.NOT_SHEDDING, 100.0)
+        times.add_answer("read", 1.0, "slow", 0.6, SheddingState.NOT_SHEDDING, 100.0)
+    assert times.expected_seconds("read", 1.0, "fast") == pytest.approx(0.1)
+    assert times.expected_seconds("read", 1.0, "slow") == pytest.approx(0.6)
+    unseen = times.expected_seconds("read", 4.0, "fast")
     assert unseen is not None and 0.1 < unseen < 0.6
-    assert times.of("write", 1.0, "fast") is None
+    assert times.expected_seconds("write", 1.0, "fast") is None
 
 
 def average(
-    first: float, *answers: float, load: Load = Load.NONE_SHED, proven: bool = True
+    first: float, *answers: float, load: SheddingState = SheddingState.NOT_SHEDDING, proven: bool = True
 ) -> AverageTime:
-    made = AverageTime(first, 100.0, FIRST_ANSWERS)
+    made = AverageTime(first, 100.0, INITIAL_ANSWERS)
     made.proven = proven
     for number, elapsed in enumerate(answers):
-        made.note(elapsed, load, 100.0 + 0.1 * number)
+        made.add_answer(elapsed, load, 100.0 + 0.1 * number)
     return made
 
 
 def test_waiting_is_not_taken_for_work_while_load_is_shed() -> None:
-    assert average(0.1, *[0.5] * 200, load=Load.SHEDDING).seconds == 0.1
+    assert average(0.1, *[0.5] * 200, load=SheddingState.SHEDDING).seconds == 0.1
 
 
 def test_what_was_learned_in_an_overload_is_put_right_by_shorter_answers() -> None:
-    assert average(0.5, *[0.1] * SHED_BATCH, load=Load.SHEDDING).seconds == pytest.approx(0.1)
+    assert average(0.5, *[0.1] * SHED_BATCH, load=SheddingState.SHEDDING).seconds == pytest.approx(0.1)
 
 
 def test_what_did_not_prove_itself_is_doubted_while_load_is_shed() -> None:
     """What a process learns that starts in an overload: ten seconds of the same answers bring it down."""
-    made = average(0.5, *[0.5] * 101, load=Load.SHEDDING, proven=False)
-    assert made.seconds <= 0.5 * exp(-10.0 / UNPROVEN_FOR)
+    made = average(0.5, *[0.5] * 101, load=SheddingState.SHEDDING, proven=False)
+    assert made.seconds <= 0.5 * exp(-10.0 / UNPROVEN_DECAY_TIME)
 
 
 def test_answers_of_relieved_backends_show_the_work_whatever_was_known() -> None:
-    assert average(0.1, 0.5, 0.5, 0.5, load=Load.RELIEVED).seconds == pytest.approx(0.5)
+    assert average(0.1, 0.5, 0.5, 0.5, load=SheddingState.LIGHTLY_LOADED).seconds == pytest.approx(0.5)
 
 
 def test_a_rising_queue_moves_the_average_by_a_part_only() -> None:
@@ -193,9 +193,9 @@
 
 def test_what_is_kept_is_bounded() -> None:
     times = WorkTimes()
-    for number in range(MOST_KEPT + 100):
-        times.note("read", 1.0, f"kind-{number}", 0.1, Load.NONE_SHED, 100.0)
-    assert len(times.averages) == MOST_KEPT
+    for number in range(MAX_AVERAGES + 100):
+        times.add_answer("read", 1.0, f"kind-{number}", 0.1, SheddingState.NOT_SHEDDING, 100.0)
+    assert len(times.averages) == MAX_AVERAGES
 
 
 def overloaded(first_part: float, seconds: float) -> tuple[int, int]:
--- a/tests/test_incident_growth.py
+++ b/tests/test_incident_growth.py
@@ -178,7 +178,7 @@
             }
         if serving:
             mean = sum(b.rating for b in serving.values()) / len(serving)
-            for kind, size in gateway.serving.sizes().items():
+            for kind, size in gateway.serving.relative_ratings().items():
                 rated = [b.rating for b in serving.values() if b.machine_type == kind]
                 assert size == pytest.approx(sum(rated) / len(rated) / mean)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
     BackendStatus, ClientDisconnected, Fail, ListKind, Outcome, Refuse, Restore, Send, SetTimer, Suspend,
     TimerExpired,
 )
-from tests.helpers import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
+from tests.helpers import CAPPED, SETTINGS, CheckedGateway, backend, backends, ended, gateway, request
 
 STEP = st.tuples(st.sampled_from(["ask", "end", "end", "wait", "leave", "drain", "count", "silence"]),
                  st.integers(0, 10**6), st.floats(0.0, 1.5))
@@ -25,38 +25,38 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(STEP, max_size=60))
 def test_random_events_break_no_rule(steps: list[tuple[str, int, float]]) -> None:
-    watch = Watch(gateway())
+    watch = CheckedGateway(gateway())
     names = ["a", "b", "c", "d"]
-    watch.tell(backends(*(backend(n, i // 2) for i, n in enumerate(names))))
+    watch.handle(backends(*(backend(n, i // 2) for i, n in enumerate(names))))
     asked = 0
     for kind, pick, span in steps:
         if kind == "ask":
             asked += 1
             klass, plan = ("read", "keyed", "pay")[pick % 3], ("small", "capped", "open")[pick // 3 % 3]
-            watch.tell(request(asked, klass, plan, plan + str(pick // 9 % 2), 1.0 + pick % 3,
+            watch.handle(request(asked, klass, plan, plan + str(pick // 9 % 2), 1.0 + pick % 3,
                                watch.now + 0.2 + 3 * span))
         elif kind == "end":
-            flying = [(n, a) for n in watch.sent for a in watch.out(n)]
+            flying = [(n, a) for n in watch.attempts for a in watch.in_flight(n)]
             if flying:
                 number, attempt = flying[pick % len(flying)]
                 outcome = ENDS[pick // 7 % len(ENDS)]
-                over = number not in watch.open or outcome is Outcome.SERVED
-                where, when = watch.sent[number][attempt]
-                watch.tell(ended(number, attempt, where, outcome, watch.now - when, over, 1.0 + pick % 5))
+                over = number not in watch.open_requests or outcome is Outcome.SERVED
+                where, when = watch.attempts[number][attempt]
+                watch.handle(ended(number, attempt, where, outcome, watch.now - when, over, 1.0 + pick % 5))
         elif kind == "wait":
             watch.run_to(watch.now + span)
-        elif kind == "leave" and watch.open:
-            watch.tell(ClientDisconnected(sorted(watch.open)[pick % len(watch.open)]))
+        elif kind == "leave" and watch.open_requests:
+            watch.handle(ClientDisconnected(sorted(watch.open_requests)[pick % len(watch.open_requests)]))
         elif kind == "drain":
             status = [BackendStatus.SERVING, BackendStatus.DRAINING, BackendStatus.REMOVED][pick % 3]
             which = pick // 3 % 4
-            watch.tell(backends(backend(names[which], which // 2, status), kind=ListKind.CHANGES))
+            watch.handle(backends(backend(names[which], which // 2, status), kind=ListKind.CHANGES))
         elif kind == "count":
-            watch.answer_counts(float(pick % 20))
+            watch.answer_counter_calls(float(pick % 20))
         elif kind == "silence":
-            watch.answer_counts(0.0, Outcome.TIMED_OUT)
+            watch.answer_counter_calls(0.0, Outcome.TIMED_OUT)
     watch.run_to(watch.now + 20)
-    assert not watch.open  # every request has had its one answer
+    assert not watch.open_requests  # every request has had its one answer
     for customer, units in watch.first_units.items():
         if customer.startswith("capped"):  # the share of the ceiling over every stretch, never its slack
             for i, (start, _) in enumerate(units):
@@ -320,25 +320,25 @@
 
 def test_connections_that_break_as_they_are_used_leave_the_further_attempts_to_others() -> None:
     # they cost the backends nothing: the store of further attempts is there to bound work, not these
-    watch = Watch(gateway())
-    watch.tell(backends(backend("a"), backend("b")))
+    watch = CheckedGateway(gateway())
+    watch.handle(backends(backend("a"), backend("b")))
     for number in range(40):
-        actions = watch.tell(request(number, customer=f"c{number}"))
-        broken = watch.tell(ended(number, 0, where(actions), Outcome.CONNECTION_LOST, 0.0, False))
+        actions = watch.handle(request(number, customer=f"c{number}"))
+        broken = watch.handle(ended(number, 0, where(actions), Outcome.CONNECTION_LOST, 0.0, False))
         assert not any(isinstance(a, Refuse) for a in broken)
-        watch.tell(ended(number, 1, where(broken), Outcome.SERVED))
+        watch.handle(ended(number, 1, where(broken), Outcome.SERVED))
 
 
 def test_attempts_that_break_after_their_work_draw_on_the_store_of_further_ones() -> None:
-    watch = Watch(gateway())
-    watch.tell(backends(backend("a"), backend("b")))
+    watch = CheckedGateway(gateway())
+    watch.handle(backends(backend("a"), backend("b")))
     refused = 0
     for number in range(40):
-        actions = watch.tell(request(number, customer=f"c{number}"))
-        broken = watch.tell(ended(number, 0, where(actions), Outcome.CONNECTION_LOST, 0.2, False))
+        actions = watch.handle(request(number, customer=f"c{number}"))
+        broken = watch.handle(ended(number, 0, where(actions), Outcome.CONNECTION_LOST, 0.2, False))
         refused += any(isinstance(a, Refuse) for a in broken)
-        if number in watch.open:
-            watch.tell(ended(number, 1, where(broken), Outcome.SERVED))
+        if number in watch.open_requests:
+            watch.handle(ended(number, 1, where(broken), Outcome.SERVED))
     assert refused > 10
 
 
@@ -429,29 +429,29 @@
 
 def test_a_keyed_repeat_stays_in_its_cell_also_when_the_last_other_member_drains() -> None:
     made = gateway(listed=backends(backend("a"), backend("b"), backend("c", 1)))
-    watch = Watch(made)
+    watch = CheckedGateway(made)
     watch.listed = {b.address: b for b in (backend("a"), backend("b"), backend("c", 1))}
-    watch.tell(request(1, "keyed"))
-    while not watch.sent.get(1):
+    watch.handle(request(1, "keyed"))
+    while not watch.attempts.get(1):
         watch.run_to(watch.now + 0.1)
-    where = watch.sent[1][0][0]
+    where = watch.attempts[1][0][0]
     if where == "c":
         gone = [backend("c", 1, BackendStatus.DRAINING)]
     else:
         gone = [backend(x, 0, BackendStatus.DRAINING) for x in "ab"]
-    watch.tell(backends(*gone, kind=ListKind.CHANGES))
-    actions = watch.tell(ended(1, 0, where, Outcome.CONNECTION_LOST, over=False))
-    assert len(watch.sent[1]) == 1 and any(isinstance(a, Fail) for a in actions)  # it may have run there
+    watch.handle(backends(*gone, kind=ListKind.CHANGES))
+    actions = watch.handle(ended(1, 0, where, Outcome.CONNECTION_LOST, over=False))
+    assert len(watch.attempts[1]) == 1 and any(isinstance(a, Fail) for a in actions)  # it may have run there
 
 
 def test_a_class_that_may_not_be_repeated_is_not_when_its_backend_drains() -> None:
-    watch = Watch(gateway())
+    watch = CheckedGateway(gateway())
     watch.listed = {b.address: b for b in (backend("a"), backend("b", 1))}
-    watch.tell(request(1, "pay"))
-    where = watch.sent[1][0][0]
-    watch.tell(backends(backend(where, int(where == "b"), BackendStatus.DRAINING), kind=ListKind.CHANGES))
-    actions = watch.tell(ended(1, 0, where, Outcome.CONNECTION_LOST, over=False))
-    assert len(watch.sent[1]) == 1 and any(isinstance(a, Fail) for a in actions)
+    watch.handle(request(1, "pay"))
+    where = watch.attempts[1][0][0]
+    watch.handle(backends(backend(where, int(where == "b"), BackendStatus.DRAINING), kind=ListKind.CHANGES))
+    actions = watch.handle(ended(1, 0, where, Outcome.CONNECTION_LOST, over=False))
+    assert len(watch.attempts[1]) == 1 and any(isinstance(a, Fail) for a in actions)
 
 
 def test_a_backend_that_is_undrained_is_cold_unless_the_same_process_runs_on() -> None:
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -10,7 +10,7 @@
 from embersill.interface import (
     AddToCounter, CounterCallEnded, FlushCounts, Outcome, Plan, Refuse, Send, SetTimer, TimerExpired,
 )
-from tests.helpers import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
+from tests.helpers import CAPPED, PLAN, SETTINGS, CheckedGateway, backend, backends, ended, gateway, request
 
 
 def sends(actions: list[object]) -> int:
@@ -74,12 +74,12 @@
 
 
 def test_counter_calls_add_then_read_one_name() -> None:
-    watch = Watch(gateway())
-    watch.tell(backends(backend("a")))
+    watch = CheckedGateway(gateway())
+    watch.handle(backends(backend("a")))
     for number in range(4):
-        watch.tell(request(number, deadline=108.0))
+        watch.handle(request(number, deadline=108.0))
     watch.run_to(102.0)
-    assert len(watch.counts) == 2 and watch.counts[0] == watch.counts[1]
+    assert len(watch.pending_counts) == 2 and watch.pending_counts[0] == watch.pending_counts[1]
 
 
 def test_failing_counter_is_left_alone() -> None:
@@ -131,12 +131,12 @@
 
 def test_a_held_request_behind_the_head_is_answered_in_its_own_time() -> None:
     """Found on a day of impatient clients: only the head of the buffer was looked at."""
-    watch = Watch(gateway())
-    watch.tell(backends(backend("a"), backend("b", 1)))
+    watch = CheckedGateway(gateway())
+    watch.handle(backends(backend("a"), backend("b", 1)))
     for number in range(4):
-        watch.tell(request(number, "pay", deadline=106.0))
-    watch.tell(request(4, "pay", deadline=106.0))  # held: half a second to go, of 0.8
-    watch.tell(request(5, "pay", deadline=101.04, units=0.01))  # behind it, with 0.52 to go
+        watch.handle(request(number, "pay", deadline=106.0))
+    watch.handle(request(4, "pay", deadline=106.0))  # held: half a second to go, of 0.8
+    watch.handle(request(5, "pay", deadline=101.04, units=0.01))  # behind it, with 0.52 to go
     watch.gateway.throttles["c"].set_share(0.001, 100.0)  # and then the slice moves elsewhere
     watch.run_to(100.9)
     assert isinstance(watch.answered[5], Refuse) and isinstance(watch.answered[4], Refuse)
