--- a/embersill/serving_set.py
+++ b/embersill/serving_set.py
@@ -1,7 +1,7 @@
-"""The backends that may be drawn, indexed so that a change of one costs the same however many there are.
+"""Index of the backends that requests may be sent to, by zone, cell and rank.
 
-Nothing is decided here. A list of backends changes by single entries, hundreds a second in a release; each
-is put in or taken out in constant time, and keeps its place under its zone, cell and rank.
+The backend list changes one entry at a time, hundreds of times a second during a release. Adding or removing
+a backend takes constant time, independent of the number of backends. No decisions are made here.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class IndexedList:
-    """A list of servers without a lasting order: adding, removing and drawing take constant time."""
+    """An unordered list of servers with constant-time append, removal and random access."""
 
     __slots__ = ("items", "positions")
 
@@ -27,7 +27,7 @@
         self.positions: dict[Server, int] = {}
 
     def remove(self, server: Server) -> None:
-        """The last one takes its position. KeyError where it is not in."""
+        """Removes a server and moves the last one to its position. KeyError if it is not in the list."""
         position = self.positions.pop(server)
         last = self.items.pop()
         if last is not server:
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class MachineTypeRatings:
-    """The ratings of the machines of one kind, summed up."""
+    """Sum of the ratings of the backends of one machine type, and their number."""
 
     total: float = 0.0
     machines: int = 0
@@ -45,30 +45,30 @@
 
 @dataclass(slots=True)
 class IndexEntry:
-    """Under what a server stands, so that it is found again whatever the list says of it by then."""
+    """The keys under which a server was added: its backend's listed data may have changed since."""
 
     machine_type: str
     rating: float
     groups: list[IndexedList]
-    sequence: int  # in the order in which they were put in
+    sequence: int  # order of insertion
 
 
 class ServingSet:
-    """The servers that serve and are not taken out by hand."""
+    """The servers that are serving and not suspended by the operator."""
 
     def __init__(self, scopes: frozenset[DedupScope]) -> None:
-        """`scopes`: those in which backends drop repeats, by which servers have to be found."""
+        """`scopes`: the deduplication scopes in use; servers are indexed by zone and cell only for these."""
         self.scopes = scopes
         self.index_zones, self.index_cells = DedupScope.ZONE in scopes, DedupScope.CELL in scopes
         self.all = IndexedList()
         self.entries: dict[Server, IndexEntry] = {}
-        self.added_count = 0  # servers so far
+        self.added_count = 0  # number of additions so far
         self.zones: defaultdict[str, IndexedList] = defaultdict(IndexedList)
         self.cells: defaultdict[int, IndexedList] = defaultdict(IndexedList)
-        self.ranks: defaultdict[int, IndexedList] = defaultdict(IndexedList)  # by this gateway's place there
+        self.ranks: defaultdict[int, IndexedList] = defaultdict(IndexedList)  # by this gateway's rank there
         self.ratings_by_type: defaultdict[str, MachineTypeRatings] = defaultdict(MachineTypeRatings)
-        self.cold: dict[Server, None] = {}  # those that were cold when they were last looked at
-        self.weights_outdated = True  # since the draw's weights were last made
+        self.cold: dict[Server, None] = {}  # servers that were in slow start when last checked
+        self.weights_outdated = True  # changed since the selection weights were last computed
 
     def __len__(self) -> int:
         return len(self.all.items)
@@ -77,7 +77,7 @@
         return server in self.entries
 
     def add(self, server: Server, is_cold: bool) -> None:
-        """Puts in a server that is not in yet."""
+        """Adds a server that is not in the set."""
         backend = server.backend
         lists = [self.all, self.ranks[server.place]]
         if self.index_zones:
@@ -98,39 +98,47 @@
         self.weights_outdated = True
 
     def discard(self, server: Server) -> None:
-        """Takes a server out, if it is in."""
-        filed = self.entries.pop(server, None)
-        if filed is None:
+        """Removes a server if it is in the set."""
+        entry = self.entries.pop(server, None)
+        if entry is None:
             return
-        for each in filed.groups:
+        for each in entry.groups:
             each.remove(server)
-        ratings = self.ratings_by_type[filed.machine_type]
-        ratings.total -= filed.rating
+        ratings = self.ratings_by_type[entry.machine_type]
+        ratings.total -= entry.rating
         ratings.machines -= 1
         if not ratings.machines:
-            del self.ratings_by_type[filed.machine_type]
+            del self.ratings_by_type[entry.machine_type]
         self.cold.pop(server, None)
         self.weights_outdated = True
 
     def group(self, scope: DedupScope, key: str | int) -> Sequence[Server]:
-        """The servers of a zone or cell, or all of them."""
+        """The servers of the zone or cell `key`, or all servers for `DedupScope.ALL`."""
         if scope is DedupScope.ALL:
             return self.all.items
         found = self.zones.get(str(key)) if scope is DedupScope.ZONE else self.cells.get(int(key))
         return found.items if found is not None else ()
 
-    def ranked_below(self, width: int, gateways: int) -> list[Server]:
-        """Those at which this gateway is among the first `width` of all `gateways`."""
-        if width >= gateways:
+    def ranked_below(self, rank_limit: int, gateways: int) -> list[Server]:
+        """The servers at which this gateway's rank among `gateways` is below `rank_limit`, oldest first."""
+        if rank_limit >= gateways:
             return list(self.all.items)
-        lists = (self.ranks.get(rank) for rank in range(width))
+        lists = (self.ranks.get(rank) for rank in range(rank_limit))
         found = [server for each in lists if each is not None for server in each.items]
-        found.sort(key=lambda server: self.entries[server].sequence)  # the same draws whatever the ranks
+        # insertion order, so that a random pick with a given seed does not depend on the ranks
+        found.sort(key=lambda server: self.entries[server].sequence)
         return found
 
     def relative_ratings(self) -> dict[str, float]:
-        """The mean rating of each kind against that of all: a single backend's may be rough."""
+        """Mean rating of each machine type relative to the mean of all servers.
+
+        Means are used because the rating of a single backend may be imprecise. Empty if there is only one
+        machine type or no rating above 0.
+        """
         mean = sum(ratings.total for ratings in self.ratings_by_type.values()) / max(len(self), 1)
         if mean <= 0 or len(self.ratings_by_type) < 2:
             return {}
-        return {kind: ratings.total / ratings.machines / mean or 1.0 for kind, ratings in self.ratings_by_type.items()}
+        return {
+            machine_type: ratings.total / ratings.machines / mean or 1.0
+            for machine_type, ratings in self.ratings_by_type.items()
+        }
