--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -1,6 +1,7 @@
-"""What one process of a gateway hands to its successor, as JSON-ready data, and how that goes on with it.
+"""State that one process of a gateway hands over to its successor, as JSON-ready data, and its restoration.
 
-Nothing is decided here: `embersill/control.py` says when state is taken and restored.
+The state may come from an older or newer version of the program. `embersill.control` decides when state is
+exported and restored. All moments and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 THROTTLE_STATE = ("share", "level", "stamp", "cap", "second", "asked", "last_asked", "own", "total",
                   "read_until", "fresh_until", "uncounted", "open", "first_gateway")
 SERVER_STATE = ("started", "bad", "touched", "limit", "flight", "calls")
-# of these, the moments by the clock of the process that hands over, which may be another than the successor's
+# the keys above that hold moments by the predecessor's clock, which may differ from the successor's
 MOMENTS = frozenset(
     ("born", "judged", "quiet_until", "stamp", "read_until", "fresh_until", "started", "touched"))
 
 
 def export_state(gateway: Gateway) -> dict[str, Any]:
-    """All that a successor must know. The customers' credit goes with it and is no longer the gateway's."""
+    """The state for a successor. The credit of the customers is handed over with it: it is zero here then."""
     return {
         "now": gateway.now,
         "gateway": read_fields(gateway, GATEWAY_STATE),
@@ -37,20 +38,22 @@
 
 
 def has_learned_state(server: Server, gateway: Gateway) -> bool:
-    """True where something was learned of a backend: of thousands most have not been used."""
+    """Whether a server's state differs from that of a new one; most of thousands were never used."""
     learned = server.bad or server.flight or server.calls or server.started != server.backend.started_at
     return bool(learned) or server.limit != gateway.start_limit()
 
 
 def read_fields(source: Gateway | Server | Throttle, names: tuple[str, ...]) -> dict[str, Any]:
+    """The values of the named attributes."""
     return {name: getattr(source, name) for name in names}
 
 
 def export_throttle(throttle: Throttle, now: float) -> list[Any]:
-    """Held requests are charged to the level already, and are taken off the ceiling's store in advance.
+    """The row of a customer, whose credit is removed here.
 
-    This process sends no more than those. Until it has ended the successor's part is smaller by as much: it
-    would else be full again before they are sent.
+    Held requests are already charged to the level. They are also subtracted from the successor's part of the
+    ceiling, and this process sends no more than those. The successor's part stays smaller by as much until
+    this process has ended: otherwise it could be full again before they are sent.
     """
     throttle.refill(now)
     state = read_fields(throttle, THROTTLE_STATE)
@@ -63,63 +66,65 @@
 
 
 def restore_state(gateway: Gateway, state: Mapping[str, Any]) -> None:
-    """Takes over what `take_state` told; what the process before has out counts until it has ended.
+    """Applies the state of `export_state`. Attempts in flight at the predecessor count until it has ended.
 
-    `clock_ahead`: seconds by which this process's clock is ahead of the other's; older versions tell none.
+    `clock_ahead` in the state: seconds by which this process's clock is ahead of the predecessor's; older
+    versions do not send it.
     """
     ahead = float(state.get("clock_ahead", 0.0))
     restore_fields(gateway, gateway, to_local_clock(state["gateway"], ahead), "flight")
-    for address, listed, figures in state["servers"]:
+    for address, started_at, values in state["servers"]:
         server = gateway.servers.get(address)
-        if server is not None and server.backend.started_at == listed:
-            restore_fields(gateway, server, to_local_clock(figures, ahead), "flight")
-    for customer, plan, width, figures in state["throttles"]:
+        if server is not None and server.backend.started_at == started_at:
+            restore_fields(gateway, server, to_local_clock(values, ahead), "flight")
+    for customer, plan, gateway_count, values in state["throttles"]:
         if plan in gateway.plans:
-            restore_throttle(gateway, customer, plan, width, to_local_clock(figures, ahead))
+            restore_throttle(gateway, customer, plan, gateway_count, to_local_clock(values, ahead))
     gateway.greet = {address: due + ahead for address, due in state["greet"].items()}
     gateway.kinds = dict(state["kinds"])
-    gateway.usual = {(klass, units): value for klass, units, value in state["usual"]}
-    gateway.work_times.restore(state.get("work_times", ()), gateway.now)  # older versions tell none
-    gateway.granted.update({(name, sure): value for name, sure, value in state["granted"]})
+    gateway.usual = {(request_class, units): value for request_class, units, value in state["usual"]}
+    gateway.work_times.restore(state.get("work_times", ()), gateway.now)  # older versions do not send it
+    gateway.granted.update({(plan, covered): value for plan, covered, value in state["granted"]})
 
 
-def to_local_clock(figures: Mapping[str, Any], ahead: float) -> dict[str, Any]:
-    """Another process's moments as those of a clock that is so many seconds ahead of its own."""
-    moved = {name: value + ahead if name in MOMENTS and value is not None else value
-             for name, value in figures.items()}
-    if "calls" in moved:
-        moved["calls"] = [at + ahead for at in moved["calls"]]
-    if "second" in moved:  # the number of a period
-        moved["second"] += round(ahead)
-    return moved
+def to_local_clock(values: Mapping[str, Any], ahead: float) -> dict[str, Any]:
+    """Converts the predecessor's moments to a clock that is `ahead` seconds ahead of the predecessor's."""
+    converted = {key: value + ahead if key in MOMENTS and value is not None else value
+                 for key, value in values.items()}
+    if "calls" in converted:
+        converted["calls"] = [at + ahead for at in converted["calls"]]
+    if "second" in converted:  # the number of a period of one second
+        converted["second"] += round(ahead)
+    return converted
 
 
 def restore_throttle(
-    gateway: Gateway, customer: str, plan: str, width: int, figures: Mapping[str, Any]
+    gateway: Gateway, customer: str, plan: str, gateway_count: int, values: Mapping[str, Any]
 ) -> None:
-    first_gateway = figures.get("first_gateway")  # older versions tell none
-    made = gateway.new_throttle(customer, gateway.plans[plan], width, first_gateway)
-    gateway.throttles[customer] = made
+    """Creates the throttle of a customer from the values of its row."""
+    first_gateway = values.get("first_gateway")  # older versions do not send it
+    throttle = gateway.new_throttle(customer, gateway.plans[plan], gateway_count, first_gateway)
+    gateway.throttles[customer] = throttle
     gateway.sweep.append(customer)
-    kept = figures.get("cap_kept", 0.0)  # older versions tell none
-    restore_fields(gateway, made, {n: v for n, v in figures.items() if n != "cap_kept"}, "open")
-    made.cap_depth -= kept
-    gateway.before.append((made, "cap_depth", -kept))
-    made.rate, made.bank = made.plan.rate * made.share, made.plan.burst * made.share
-    gateway.start_counting(made)
+    kept = values.get("cap_kept", 0.0)  # older versions do not send it
+    restore_fields(gateway, throttle, {k: v for k, v in values.items() if k != "cap_kept"}, "open")
+    throttle.cap_depth -= kept
+    gateway.before.append((throttle, "cap_depth", -kept))
+    throttle.rate, throttle.bank = throttle.plan.rate * throttle.share, throttle.plan.burst * throttle.share
+    gateway.start_counting(throttle)
 
 
 def restore_fields(
-    gateway: Gateway, target: Gateway | Server | Throttle, figures: Mapping[str, Any], out: str
+    gateway: Gateway, target: Gateway | Server | Throttle, values: Mapping[str, Any], in_flight_key: str
 ) -> None:
-    """`out`: the field that counts what the process before still has out."""
-    for name, value in figures.items():
+    """Sets attributes of `target`. `in_flight_key`: the count that includes the predecessor's attempts."""
+    for name, value in values.items():
         setattr(target, name, value)
-    gateway.before.append((target, out, figures[out]))
+    gateway.before.append((target, in_flight_key, values[in_flight_key]))
 
 
 def end_predecessor(gateway: Gateway) -> None:
-    """The process before has ended: nothing of it is out any more."""
+    """Subtracts what the predecessor had in flight: it has ended."""
     for target, name, number in gateway.before:
         setattr(target, name, getattr(target, name) - number)
     gateway.before = []
