--- a/embersill/settings.py
+++ b/embersill/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings object that both programs are given: the adapter by wire, the gateway in its file."""
+"""Reads and checks the settings object of the simulator's wire and of the gateway's configuration file."""
 
 from __future__ import annotations
 
@@ -16,13 +16,17 @@
 
 
 def require_key(source: dict[str, Any], key: str) -> Any:
+    """The value of a key; ValueError if it is missing or `source` is not an object."""
     if not isinstance(source, dict) or key not in source:
         raise ValueError(f"settings: missing key {key}")
     return source[key]
 
 
 def read_settings(env: dict[str, Any]) -> Settings:
-    """The settings of an instance from its first message; ValueError names a key that is missing or wrong."""
+    """Converts the settings object of a gateway; its durations are in milliseconds.
+
+    ValueError names a key that is missing or has a wrong value.
+    """
     limits, rules, domain = require_key(env, "limits"), require_key(env, "rules"), require_key(env, "domain")
 
     def number(source: dict[str, Any], key: str) -> float:
@@ -41,14 +45,14 @@
         return table[value]
 
     def request_class(source: dict[str, Any]) -> RequestClass:
-        repeats = named(REPEAT_POLICIES, source, "semantics")
-        keyed = repeats is RepeatPolicy.BY_KEY  # the group and the window of repeats say nothing of others
+        policy = named(REPEAT_POLICIES, source, "semantics")
+        keyed = policy is RepeatPolicy.BY_KEY  # in other classes scope and memory have no meaning
         deadline = seconds(source, "deadline")
         return RequestClass(
-            name=require_key(source, "name"), repeat_policy=repeats,
+            name=require_key(source, "name"), repeat_policy=policy,
             dedup_scope=named(DEDUP_SCOPES, source, "dedup_scope") if keyed else DedupScope.ALL,
             memory=seconds(source, "memory_span") if keyed else 0.0,
-            aim=min(seconds(source, "aim"), deadline),  # nobody waits any longer
+            aim=min(seconds(source, "aim"), deadline),  # no request waits beyond its deadline
             deadline=deadline, late_worth_share=number(source, "late_share"), worth=number(source, "credit"),
             stream=bool(require_key(source, "stream")),
         )
@@ -72,95 +76,98 @@
         counter_timeout=seconds(domain, "count_limit") if counter else 0.0,
         counter_call_cost=number(domain, "count_fee") if counter else 0.0,
         may_cancel=bool(require_key(limits, "cancel")), may_probe=bool(require_key(limits, "may_probe")),
-        may_hedge=bool(require_key(limits, "second_copies")), max_attempts=int(number(limits, "max_attempts")),
+        may_hedge=bool(require_key(limits, "second_copies")),
+        max_attempts=int(number(limits, "max_attempts")),
         max_retry_after=seconds(limits, "max_retry_after"),
         cold_from=number(rules, "cold_from"), warm_within=seconds(rules, "warm_within"),
         fall_multiple=number(rules, "fall_multiple"), overload_for=seconds(rules, "overload_for"),
-        report_fields=tuple(require_key(require_key(env, "report"), "fields")), max_units=number(domain, "max_units"),
-        post_paid=bool(require_key(domain, "post_paid")),
+        report_fields=tuple(require_key(require_key(env, "report"), "fields")),
+        max_units=number(domain, "max_units"), post_paid=bool(require_key(domain, "post_paid")),
     )
 
 
-DEFAULT_GRACE_MS = 1000.0  # for drains, where the rules name none: the protocol's own
+DEFAULT_GRACE_MS = 1000.0  # grace of a drain if the settings have none, as the protocol defines it
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What the settings say of connections: the sockets need it, the decisions don't."""
+    """Limits of connections, in seconds. They are used by the network code, not by the decisions."""
 
     dial_timeout: float
     keepalive: float
-    grace: float  # after a drain was told, in which sends must cease
+    grace: float  # after the start of a backend's drain, in which requests may still be sent to it
 
 
 def read_limits(env: dict[str, Any]) -> ConnectionLimits:
+    """The connection limits of the settings object; ValueError for a missing key or a duration of 0 or less."""
     limits = require_key(env, "limits")
-    dial, keep = float(require_key(limits, "dial_timeout")), float(require_key(limits, "keepalive"))
-    if dial <= 0 or keep <= 0:
-        raise ValueError("settings: dial_timeout and keepalive must be above nought")
+    dial, keepalive = float(require_key(limits, "dial_timeout")), float(require_key(limits, "keepalive"))
+    if dial <= 0 or keepalive <= 0:
+        raise ValueError("settings: dial_timeout and keepalive must be above 0")
     grace = float(require_key(env, "rules").get("stop_sending_within", DEFAULT_GRACE_MS))
-    return ConnectionLimits(dial / 1000.0, keep / 1000.0, grace / 1000.0)
+    return ConnectionLimits(dial / 1000.0, keepalive / 1000.0, grace / 1000.0)
 
 
-# of each number in `pool`, the least and the most that makes sense; those of whole numbers are whole
+# minimum and maximum of each number in `pool`
 POOL_RANGES: dict[str, tuple[float, float]] = {
     "margin": (0.0, 3600.0), "max_age": (0.0, 86_400.0), "opening": (1, 4096), "opening_each": (1, 4096)}
 
 
-def read_pool(told: Any) -> PoolSettings:
-    """The part `pool` of a gateway's configuration, all of it optional; ValueError names what is wrong."""
-    if not isinstance(told, dict):
+def read_pool(options: Any) -> PoolSettings:
+    """Section `pool` of a gateway's configuration; each key is optional. ValueError names a wrong one."""
+    if not isinstance(options, dict):
         raise ValueError("pool is no object")
-    kinds = {f.name: type(f.default) for f in fields(PoolSettings)}
-    for key, value in told.items():
-        if key not in kinds:
-            raise ValueError(f"pool: unknown key {key!r}; known are {', '.join(kinds)}")
-        if kinds[key] is bool and not isinstance(value, bool):
+    types = {f.name: type(f.default) for f in fields(PoolSettings)}
+    for key, value in options.items():
+        if key not in types:
+            raise ValueError(f"pool: unknown key {key!r}; known are {', '.join(types)}")
+        if types[key] is bool and not isinstance(value, bool):
             raise ValueError(f"pool: {key} is neither true nor false: {value!r}")
-        if kinds[key] is not bool:
-            least, most = POOL_RANGES[key]
-            whole = "whole number" if kinds[key] is int else "number"
-            number = isinstance(value, int if kinds[key] is int else int | float)
-            if isinstance(value, bool) or not number or not least <= value <= most:
-                raise ValueError(f"pool: {key} is no {whole} from {least:g} to {most:g}: {value!r}")
-    return PoolSettings(**told)
+        if types[key] is not bool:
+            minimum, maximum = POOL_RANGES[key]
+            type_name = "whole number" if types[key] is int else "number"
+            is_number = isinstance(value, int if types[key] is int else int | float)
+            if isinstance(value, bool) or not is_number or not minimum <= value <= maximum:
+                raise ValueError(f"pool: {key} is no {type_name} from {minimum:g} to {maximum:g}: {value!r}")
+    return PoolSettings(**options)
 
 
-# of each number in `aggregation`, the least and the most that makes sense
+# minimum and maximum of each number in `aggregation`
 AGGREGATION_RANGES: dict[str, tuple[float, float]] = {
     "calls_per_second": (0.1, 100_000.0), "burst": (2.0, 100_000.0)}
 
 
-def read_aggregation(told: Any) -> AggregationSettings | None:
-    """The part `aggregation` of a gateway's configuration; ValueError names what is wrong."""
-    if told is None:
+def read_aggregation(options: Any) -> AggregationSettings | None:
+    """Section `aggregation` of a gateway's configuration; None if absent. ValueError names a wrong key."""
+    if options is None:
         return None
-    if not isinstance(told, dict):
+    if not isinstance(options, dict):
         raise ValueError("aggregation is no object")
     known = [f.name for f in fields(AggregationSettings)]
-    for key, value in told.items():
+    for key, value in options.items():
         if key not in known:
             raise ValueError(f"aggregation: unknown key {key!r}; known are {', '.join(known)}")
         if key == "directory" and not isinstance(value, str):
             raise ValueError(f"aggregation: directory is no text: {value!r}")
         if key in AGGREGATION_RANGES:
-            least, most = AGGREGATION_RANGES[key]
-            number = isinstance(value, int | float) and not isinstance(value, bool)
-            if not number or not least <= value <= most:
-                raise ValueError(f"aggregation: {key} is no number from {least:g} to {most:g}: {value!r}")
-    return AggregationSettings(**told)
+            minimum, maximum = AGGREGATION_RANGES[key]
+            is_number = isinstance(value, int | float) and not isinstance(value, bool)
+            if not is_number or not minimum <= value <= maximum:
+                raise ValueError(
+                    f"aggregation: {key} is no number from {minimum:g} to {maximum:g}: {value!r}")
+    return AggregationSettings(**options)
 
 
 def validate_settings(settings: Settings) -> None:
-    """ValueError with the name of a setting that makes no sense."""
+    """Raises a ValueError that names a setting out of its range."""
     if settings.gateways < 1 or settings.max_attempts < 1:
         raise ValueError(f"settings: {'gateways' if settings.gateways < 1 else 'max_attempts'} is below 1")
     names = ("warm_within", "overload_for", "fall_multiple", "cold_from", "max_retry_after", "ask_every")
-    sets: list[tuple[object, str, tuple[str, ...]]] = [(settings, "", names)]
-    figures = ("rate", "burst", "ceiling_rate", "ceiling_depth", "concurrency")
-    sets += [(plan, f" of plan {plan.name}", figures) for plan in settings.plans]
-    sets += [(klass, f" of class {klass.name}", ("aim", "deadline", "memory")) for klass in settings.classes]
-    for source, where, keys in sets:
+    checks: list[tuple[object, str, tuple[str, ...]]] = [(settings, "", names)]
+    plan_names = ("rate", "burst", "ceiling_rate", "ceiling_depth", "concurrency")
+    checks += [(plan, f" of plan {plan.name}", plan_names) for plan in settings.plans]
+    checks += [(each, f" of class {each.name}", ("aim", "deadline", "memory")) for each in settings.classes]
+    for source, suffix, keys in checks:
         for name in keys:
             if getattr(source, name) < 0:
-                raise ValueError(f"settings: {name}{where} is below nought")
+                raise ValueError(f"settings: {name}{suffix} is below 0")
--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -12,6 +12,7 @@
 if TYPE_CHECKING:
     from embersill.control import Gateway, Server, Throttle
 
+# attributes that are transferred; their names are keys of the state, which other versions read and write
 GATEWAY_STATE = ("born", "fleet_fails", "retry_credit", "passed", "judged", "limit", "flight", "quiet_until",
                  "count_fails", "counted_part")
 THROTTLE_STATE = ("share", "level", "stamp", "cap", "second", "asked", "last_asked", "own", "total",
