--- a/embersill/settings.py
+++ b/embersill/settings.py
@@ -99,7 +99,7 @@
 
 
 def read_limits(env: dict[str, Any]) -> ConnectionLimits:
-    """The connection limits of the settings object; ValueError for a missing key or a duration of 0 or less."""
+    """Connection limits of the settings object; ValueError if a key is missing or a duration 0 or less."""
     limits = require_key(env, "limits")
     dial, keepalive = float(require_key(limits, "dial_timeout")), float(require_key(limits, "keepalive"))
     if dial <= 0 or keepalive <= 0:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds settings and events for tests, and a driver that checks the rules on every action."""
+"""Builders of settings and events for tests, and a driver that checks the protocol's rules on each action."""
 
 from __future__ import annotations
 
@@ -47,10 +47,12 @@
 def backend(
     name: str, cell: int = 0, status: BackendStatus = BackendStatus.SERVING, started: float | None = None
 ) -> Backend:
+    """An entry of the backend list."""
     return Backend(name, "z", "k", cell, status, 1.0, started)
 
 
 def backends(*entries: Backend, kind: ListKind = ListKind.FULL) -> BackendList:
+    """A backend list as an event."""
     return BackendList(kind, entries)
 
 
@@ -63,33 +65,43 @@
     deadline: float = 104.0,
     width: int = 2,
 ) -> Request:
+    """A request with the given id."""
     return Request(number, klass, plan, customer, deadline, units, width, 0, False)
 
 
 def ended(
     number: int,
     attempt: int,
-    where: str,
+    address: str,
     outcome: Outcome,
     elapsed: float = 0.1,
     over: bool | None = None,
     true_units: float = 0.0,
 ) -> AttemptEnded:
-    final = outcome is Outcome.SERVED if over is None else over
-    return AttemptEnded(number, attempt, where, outcome, elapsed, final, true_units, ())
+    """The result of an attempt at a backend. `over`: the request has ended; by default if it was served."""
+    request_ended = outcome is Outcome.SERVED if over is None else over
+    return AttemptEnded(number, attempt, address, outcome, elapsed, request_ended, true_units, ())
 
 
 def gateway(now: float = 100.0, listed: BackendList | None = None, **changes: object) -> Gateway:
-    made = Gateway(replace(SETTINGS, **changes), 1, now)  # type: ignore[arg-type]
-    made.handle(listed or backends(backend("a"), backend("b", 1)), now)
-    return made
+    """A gateway with a backend list. `changes`: fields of Settings that differ from SETTINGS."""
+    created = Gateway(replace(SETTINGS, **changes), 1, now)  # type: ignore[arg-type]
+    created.handle(listed or backends(backend("a"), backend("b", 1)), now)
+    return created
 
 
 class CheckedGateway:
-    """Plays a client, backends and timers around one gateway and asserts the rules on each action."""
+    """Simulates the peers and timers of one gateway and asserts the protocol's rules on each action.
 
-    def __init__(self, made: Gateway, settings: Settings = SETTINGS) -> None:
-        self.gateway, self.settings = made, settings
+    open_requests, answered: requests without and with a final answer, by id
+    attempts: for each request the backend and time of each attempt
+    outcomes: for each request the outcomes of its ended attempts
+    pending_counts: names of counter calls without an answer
+    first_units: for each customer the time and units of each request that was sent
+    """
+
+    def __init__(self, gateway: Gateway, settings: Settings = SETTINGS) -> None:
+        self.gateway, self.settings = gateway, settings
         self.classes = {c.name: c for c in settings.classes}
         self.now = 100.0
         self.open_requests: dict[int, Request] = {}
@@ -102,9 +114,14 @@
         self.first_units: dict[str, list[tuple[float, float]]] = {}
 
     def in_flight(self, number: int) -> list[int]:
-        return [n for n in range(len(self.attempts.get(number, []))) if n not in self.outcomes.get(number, {})]
+        """Attempts of a request that have not ended."""
+        return [
+            n for n in range(len(self.attempts.get(number, [])))
+            if n not in self.outcomes.get(number, {})
+        ]
 
     def handle(self, event: Event) -> list[Action]:
+        """Passes an event to the gateway; returns its checked actions."""
         if isinstance(event, BackendList) and event.kind is not ListKind.FAILED:
             if event.kind is not ListKind.CHANGES:
                 self.listed = {}
@@ -123,62 +140,74 @@
         return actions
 
     def possibly_run(self, number: int) -> list[int]:
-        gone = self.outcomes.get(number, {})
-        return [n for n in range(len(self.attempts.get(number, []))) if n not in gone or not gone[n].never_ran]
+        """Attempts of a request that are not proven not to have run."""
+        outcomes = self.outcomes.get(number, {})
+        return [
+            n for n in range(len(self.attempts.get(number, [])))
+            if n not in outcomes or not outcomes[n].never_ran
+        ]
 
     def check(self, action: Action) -> None:
+        """Asserts the rules on an action and records it."""
         if isinstance(action, SetTimer):
             assert action.delay > 0
             self.timers.append((self.now + action.delay, action.key))
         elif isinstance(action, AddToCounter):
             self.pending_counts.append(action.name)
         elif isinstance(action, Send):
-            asked = self.open_requests[action.request]  # a send for a request that is over breaks a rule
-            klass, tries = self.classes[asked.request_class], self.attempts.setdefault(action.request, [])
+            request = self.open_requests[action.request]  # fails for a request that has ended
+            request_class, attempts = (
+                self.classes[request.request_class], self.attempts.setdefault(action.request, []))
             target = self.listed[action.backend]
             assert target.status is BackendStatus.SERVING
             assert self.settings.may_hedge or not self.in_flight(action.request)
-            assert len(tries) < self.settings.max_attempts
-            risky = self.possibly_run(action.request)
-            if risky:
-                assert klass.repeat_policy is not RepeatPolicy.ONCE
-                if klass.repeat_policy is RepeatPolicy.BY_KEY:
-                    where, when = tries[risky[0]]
-                    assert self.listed[where].cell == target.cell or klass.dedup_scope is DedupScope.ALL
-                    assert self.now - when < klass.memory
-            if not tries:
-                self.first_units.setdefault(asked.customer, []).append((self.now, asked.units))
-            tries.append((action.backend, self.now))
+            assert len(attempts) < self.settings.max_attempts
+            possibly_run = self.possibly_run(action.request)
+            if possibly_run:
+                assert request_class.repeat_policy is not RepeatPolicy.ONCE
+                if request_class.repeat_policy is RepeatPolicy.BY_KEY:
+                    address, sent_at = attempts[possibly_run[0]]
+                    assert (
+                        self.listed[address].cell == target.cell
+                        or request_class.dedup_scope is DedupScope.ALL
+                    )
+                    assert self.now - sent_at < request_class.memory
+            if not attempts:
+                self.first_units.setdefault(request.customer, []).append((self.now, request.units))
+            attempts.append((action.backend, self.now))
         elif isinstance(action, Refuse | Fail):
-            asked = self.open_requests.pop(action.request)  # a second answer breaks a rule
-            assert self.now <= asked.deadline + 0.008
-            klass = self.classes[asked.request_class]
+            request = self.open_requests.pop(action.request)  # fails for a second answer
+            assert self.now <= request.deadline + 0.008
+            request_class = self.classes[request.request_class]
             if isinstance(action, Refuse) and self.possibly_run(action.request):
-                assert klass.repeat_policy is RepeatPolicy.SAFE or (
-                    klass.repeat_policy is RepeatPolicy.BY_KEY and klass.dedup_scope is DedupScope.ALL
+                assert request_class.repeat_policy is RepeatPolicy.SAFE or (
+                    request_class.repeat_policy is RepeatPolicy.BY_KEY
+                    and request_class.dedup_scope is DedupScope.ALL
                 )
             self.answered[action.request] = action
 
     def run_to(self, until: float) -> None:
-        """Fires the timers that fall due, and times out attempts at their requests' deadlines."""
+        """Fires the timers due until then, and times out attempts at the deadlines of their requests."""
         while True:
-            due = min(self.timers, default=(until + 1, ""))
-            ends = [(r.deadline, n) for n, r in self.open_requests.items() if self.in_flight(n)]
-            late = min(ends, default=(until + 1, 0))
-            if min(due[0], late[0]) > until:
+            next_timer = min(self.timers, default=(until + 1, ""))
+            deadlines = [(r.deadline, n) for n, r in self.open_requests.items() if self.in_flight(n)]
+            next_deadline = min(deadlines, default=(until + 1, 0))
+            if min(next_timer[0], next_deadline[0]) > until:
                 break
-            if due[0] <= late[0]:
-                self.timers.remove(due)
-                self.now = max(self.now, due[0])
-                self.handle(TimerExpired(due[1]))
+            if next_timer[0] <= next_deadline[0]:
+                self.timers.remove(next_timer)
+                self.now = max(self.now, next_timer[0])
+                self.handle(TimerExpired(next_timer[1]))
             else:
-                self.now = max(self.now, late[0])
-                for n in self.in_flight(late[1]):
-                    where, when = self.attempts[late[1]][n]
-                    self.handle(ended(late[1], n, where, Outcome.TIMED_OUT, self.now - when, False))
+                self.now = max(self.now, next_deadline[0])
+                for n in self.in_flight(next_deadline[1]):
+                    address, sent_at = self.attempts[next_deadline[1]][n]
+                    self.handle(
+                        ended(next_deadline[1], n, address, Outcome.TIMED_OUT, self.now - sent_at, False))
         self.now = until
 
     def answer_counter_calls(self, total: float, outcome: Outcome = Outcome.SERVED) -> None:
+        """Answers all pending counter calls with the same total."""
         names, self.pending_counts = self.pending_counts, []
         for name in names:
             self.handle(CounterCallEnded(name, outcome, 0.001, total))
