--- a/tests/operations.py
+++ b/tests/operations.py
@@ -1,4 +1,4 @@
-"""Counts the operations of Python code, which are the same at every run: times on a busy machine are not."""
+"""Counts executed bytecode operations, which do not vary between runs as times on a busy machine do."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Counted:
-    """How many operations of byte code were executed; what C code does within one is not seen."""
+    """Number of bytecode operations executed, without the work of C functions that they call."""
 
     number = 0
 
 
 @contextmanager
 def operations() -> Iterator[Counted]:
-    """Counts what runs inside."""
+    """Counts the operations within the `with` block."""
     counted, before = Counted(), sys.gettrace()
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over real text frames."""
+"""Tests the simulator's adapter with recorded batches, and its errors for malformed input."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     return sink.getvalue()
 
 
-def test_frames_are_answered_as_written() -> None:
+def test_reply_to_recorded_batches_is_unchanged() -> None:
     assert play(FRAMES) == (HERE / "batch.reply.txt").read_text()
 
 
-def test_same_events_same_actions() -> None:
+def test_replies_are_deterministic() -> None:
     assert play(FRAMES) == play(FRAMES)
 
 
@@ -43,19 +43,19 @@
     "frame\t1\nabout\t0\nclient_left\t1\ngo\n", "frame\t1\npage\t0\t3\ngo\n", "frame\t1\n",
     "frame\t1\nabout\t0\nup\t1\t{}\ngo\n", "frame\t1\nabout\t0\nup\t1\t{bad\ngo\n",
 ])
-def test_malformed_input_is_told(text: str) -> None:
+def test_malformed_input_raises_an_error(text: str) -> None:
     with pytest.raises(MalformedInput):
         play(text)
 
 
-def test_malformed_input_ends_with_one_plain_line() -> None:
+def test_malformed_input_ends_the_program_with_one_error_line() -> None:
     done = subprocess.run([sys.executable, "-m", "embersill.adapter"], input="rubbish\n", text=True,
                           capture_output=True, cwd=HERE.parent, check=False)
     assert done.returncode != 0 and done.stdout == ""
     assert len(done.stderr.strip().splitlines()) == 1 and "malformed" in done.stderr
 
 
-def test_an_exception_goes_out_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_gateway_is_replied_as_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     from embersill.control import Gateway
 
     def fail(*_: object) -> None:
@@ -76,13 +76,13 @@
         read_settings(bad)
 
 
-def test_unknown_keys_are_passed_over() -> None:
+def test_unknown_keys_are_ignored() -> None:
     more = env()
     more["new"] = more["limits"]["new"] = 1
     assert read_settings(more) == read_settings(env())
 
 
-def test_instances_share_nothing() -> None:
+def test_retiring_an_instance_leaves_the_others() -> None:
     host = InstanceHost()
     up = next(x for x in FRAMES.splitlines() if x.startswith("up\t"))
     host.run_batch(1.0, ["about\t0", up, "about\t1", up])
