--- a/tests/test_heavy_classes.py
+++ b/tests/test_heavy_classes.py
@@ -1,10 +1,9 @@
-"""A class whose work takes over a third of its aim was refused by an idle fleet.
+"""Tests that an idle fleet serves a class whose work takes a large part of its aim.
 
-An answer counted as late from 0.35 of the aim on, whatever the work needs, and late answers are the sign of
-overload. With work of 0.36 of the aim and more each answer was late, and the attempts' timers said so as
-well: the part of requests that is sent on (`passed`) fell to its least of 0.05 and stayed there, and of 300
-requests, one a second to 20 idle backends, 37 were served; with work of 0.34 it was 300. What the work
-takes is learned now, and an answer is late from twice that on, within the aim: embersill/work_times.py.
+Late answers are the sign of overload. An answer used to count as late from 0.35 of the aim on: with work of
+0.36 of the aim every answer was late, the admitted fraction fell to its minimum of 0.05, and of 300 requests,
+one a second to 20 idle backends, 37 were served; with work of 0.34 all were. The time of the work is now
+learned, and an answer is late from twice that time on, within the aim: embersill/work_times.py.
 """
 
 from __future__ import annotations
@@ -28,8 +27,8 @@
 from tests.helpers import PLAN, SAFE, backend, backends, ended, gateway, request
 
 REQUESTS = 300
-SERVED_AT_LEAST = 0.95
-WORKS = [0.1, 0.2, 0.3, 0.34, 0.36, 0.4, 0.5, 0.7, 0.9]  # of the aim
+MIN_SERVED_SHARE = 0.95
+WORK_SHARES = [0.1, 0.2, 0.3, 0.34, 0.36, 0.4, 0.5, 0.7, 0.9]  # of the aim
 
 Draw = Callable[[random.Random], float]
 
@@ -40,10 +39,10 @@
 
 @dataclass
 class IdleFleet:
-    """One gateway before 20 backends that answer each request after its work alone. Works are seconds."""
+    """One gateway and 20 backends that answer each request after `work_of(now)` seconds, without queueing."""
 
     aim: float
-    work_of: Callable[[float], float]  # by the moment
+    work_of: Callable[[float], float]
     machine: str = "k"
     late_share: float = 0.0
 
@@ -60,11 +59,11 @@
         self.number += 1
         heapq.heappush(self.events, (at, self.number, event))
 
-    def play(self, pace: float = 1.0) -> int:
-        """Requests served within the aim, of so many more as REQUESTS; `pace`: a second."""
+    def play(self, rate: float = 1.0) -> int:
+        """Sends REQUESTS requests, `rate` a second; returns how many were served within the aim."""
         before = self.in_aim
         for _ in range(REQUESTS):
-            self.now, self.asked = self.now + 1.0 / pace, self.asked + 1
+            self.now, self.asked = self.now + 1.0 / rate, self.asked + 1
             self.put(self.now, request(self.asked, deadline=self.now + 4.0 * self.aim, width=1))
         while self.events:
             at, _, event = heapq.heappop(self.events)
@@ -85,39 +84,39 @@
 
 
 @pytest.mark.parametrize("aim", [0.1, 0.5, 2.0])
-@pytest.mark.parametrize("part", WORKS)
-def test_an_idle_fleet_serves_a_class_whatever_part_of_its_aim_work_takes(part: float, aim: float) -> None:
+@pytest.mark.parametrize("part", WORK_SHARES)
+def test_an_idle_fleet_serves_a_class_with_any_work_within_its_aim(part: float, aim: float) -> None:
     fleet = IdleFleet(aim, lambda at: part * aim)
-    assert fleet.play() >= SERVED_AT_LEAST * REQUESTS
+    assert fleet.play() >= MIN_SERVED_SHARE * REQUESTS
 
 
 @pytest.mark.parametrize("part", [0.1, 0.5, 0.9])
 def test_a_class_with_three_requests_a_minute_is_served(part: float) -> None:
     fleet = IdleFleet(0.5, lambda at: part * 0.5)
-    assert fleet.play(pace=0.05) >= SERVED_AT_LEAST * REQUESTS
+    assert fleet.play(rate=0.05) >= MIN_SERVED_SHARE * REQUESTS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_works_that_differ_ten_times_within_a_class_are_no_overload(seed: int) -> None:
+def test_work_that_varies_tenfold_within_a_class_does_not_count_as_overload(seed: int) -> None:
     dice = random.Random(seed)
     fleet = IdleFleet(0.5, lambda at: 0.45 * dice.uniform(0.1, 1.0))
-    assert fleet.play() >= SERVED_AT_LEAST * REQUESTS
+    assert fleet.play() >= MIN_SERVED_SHARE * REQUESTS
 
 
-def test_a_release_that_is_three_times_as_slow_is_served_again_after_some_time() -> None:
+def test_requests_are_served_again_after_a_release_makes_work_three_times_slower() -> None:
     fleet = IdleFleet(0.5, lambda at: 0.1 if at < 100.0 + REQUESTS else 0.35)
-    assert fleet.play() >= SERVED_AT_LEAST * REQUESTS
-    fleet.play(pace=5.0)
-    assert fleet.play(pace=5.0) >= SERVED_AT_LEAST * REQUESTS
+    assert fleet.play() >= MIN_SERVED_SHARE * REQUESTS
+    fleet.play(rate=5.0)
+    assert fleet.play(rate=5.0) >= MIN_SERVED_SHARE * REQUESTS
 
 
-def test_work_beyond_the_aim_is_served_where_late_answers_keep_their_worth() -> None:
+def test_work_beyond_the_aim_is_served_if_late_answers_keep_their_worth() -> None:
     fleet = IdleFleet(0.5, lambda at: 0.6, late_share=1.0)
     fleet.play()
-    assert fleet.gateway.given_up.total() <= (1.0 - SERVED_AT_LEAST) * REQUESTS
+    assert fleet.gateway.given_up.total() <= (1.0 - MIN_SERVED_SHARE) * REQUESTS
 
 
-def test_no_request_is_held_beyond_what_its_work_leaves_of_the_aim() -> None:
+def test_no_request_is_held_longer_than_the_aim_minus_its_work() -> None:
     fleet = IdleFleet(0.5, lambda at: 0.4)
     fleet.play()
     made, now = fleet.gateway, 1000.0
@@ -135,7 +134,7 @@
     assert holds and max(holds) <= 0.1 + 1e-6
 
 
-def test_a_successor_knows_what_the_work_takes() -> None:
+def test_a_successor_receives_the_time_of_the_work() -> None:
     fleet = IdleFleet(0.5, lambda at: 0.4)
     fleet.play()
     state = json.loads(json.dumps(fleet.gateway.hand_over(500.0)))
@@ -146,7 +145,7 @@
     successor.gateway.handle(PredecessorState(old_form), 500.0)
 
 
-def test_a_slow_kind_of_machine_is_known_apart() -> None:
+def test_times_of_a_slow_machine_type_are_kept_separately() -> None:
     times = WorkTimes()
     for _ in range(40):
         times.add_answer("read", 1.0, "fast", 0.1, SheddingState.NOT_SHEDDING, 100.0)
@@ -168,48 +167,51 @@
     return made
 
 
-def test_waiting_is_not_taken_for_work_while_load_is_shed() -> None:
+def test_queueing_does_not_count_as_work_while_load_is_shed() -> None:
     assert average(0.1, *[0.5] * 200, load=SheddingState.SHEDDING).seconds == 0.1
 
 
-def test_what_was_learned_in_an_overload_is_put_right_by_shorter_answers() -> None:
+def test_shorter_answers_correct_an_average_learned_during_an_overload() -> None:
     assert average(0.5, *[0.1] * SHED_BATCH, load=SheddingState.SHEDDING).seconds == pytest.approx(0.1)
 
 
-def test_what_did_not_prove_itself_is_doubted_while_load_is_shed() -> None:
-    """What a process learns that starts in an overload: ten seconds of the same answers bring it down."""
+def test_an_unproven_average_decays_while_load_is_shed() -> None:
+    """A process that starts during an overload learns too long times: they decay within ten seconds."""
     made = average(0.5, *[0.5] * 101, load=SheddingState.SHEDDING, proven=False)
     assert made.seconds <= 0.5 * exp(-10.0 / UNPROVEN_DECAY_TIME)
 
 
-def test_answers_of_relieved_backends_show_the_work_whatever_was_known() -> None:
+def test_answers_of_lightly_loaded_backends_replace_the_average() -> None:
     assert average(0.1, 0.5, 0.5, 0.5, load=SheddingState.LIGHTLY_LOADED).seconds == pytest.approx(0.5)
 
 
-def test_a_rising_queue_moves_the_average_by_a_part_only() -> None:
-    """Ten seconds of answers at four times the work: a sixth of the way."""
+def test_a_growing_queue_moves_the_average_only_partly() -> None:
+    """Ten seconds of answers at four times the work move it by a sixth of the difference."""
     assert average(0.1, *[0.4] * 100).seconds < 0.2
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_the_number_of_averages_is_limited() -> None:
     times = WorkTimes()
     for number in range(MAX_AVERAGES + 100):
         times.add_answer("read", 1.0, f"kind-{number}", 0.1, SheddingState.NOT_SHEDDING, 100.0)
     assert len(times.averages) == MAX_AVERAGES
 
 
-def overloaded(first_part: float, seconds: float) -> tuple[int, int]:
-    """Requests at twice the capacity of four backends with a line each, and those served within the aim."""
+def overloaded(initial_queue: float, seconds: float) -> tuple[int, int]:
+    """Sends requests at twice the capacity of four backends, each with a queue.
+
+    Returns the numbers of requests sent and served within the aim. `initial_queue`: initial queue in seconds.
+    """
     aim, work, backends_at = 0.5, 0.05, 4
     made = gateway(
         listed=backends(*(backend(f"b{n}") for n in range(backends_at))), plans=(wide_plan(),), gateways=1,
         counter=False, classes=(replace(SAFE, aim=aim, deadline=2.0),))
-    free_at = dict.fromkeys((f"b{n}" for n in range(backends_at)), 100.0 + first_part)
+    free_at = dict.fromkeys((f"b{n}" for n in range(backends_at)), 100.0 + initial_queue)
     events: list[tuple[float, int, Event]] = []
-    pace, number, in_aim = 2.0 * backends_at / work, 0, 0
-    for place in range(round(seconds * pace)):
-        at = 100.0 + place / pace
-        heapq.heappush(events, (at, place, Request(place, "read", "small", "c", at + 2.0, 1.0, 1, 0, False)))
+    rate, number, in_aim = 2.0 * backends_at / work, 0, 0
+    for index in range(round(seconds * rate)):
+        at = 100.0 + index / rate
+        heapq.heappush(events, (at, index, Request(index, "read", "small", "c", at + 2.0, 1.0, 1, 0, False)))
     number = len(events)
     while events:
         at, _, event = heapq.heappop(events)
@@ -222,13 +224,13 @@
                 free_at[action.backend] = done = max(free_at[action.backend], at) + work
                 took = min(done - at, action.timeout)
                 outcome = Outcome.SERVED if done - at <= action.timeout else Outcome.TIMED_OUT
-                told = ended(action.request, 0, action.backend, outcome, elapsed=took)
-                heapq.heappush(events, (at + took, number, told))
-    return round(seconds * pace), in_aim
+                result = ended(action.request, 0, action.backend, outcome, elapsed=took)
+                heapq.heappush(events, (at + took, number, result))
+    return round(seconds * rate), in_aim
 
 
-@pytest.mark.parametrize("first_part", [0.0, 0.4])
-def test_an_overload_from_the_first_second_on_is_shed(first_part: float) -> None:
-    """Half of the load is what the backends can do; they begin with a line of `first_part` seconds."""
-    asked, in_aim = overloaded(first_part, 30.0)
+@pytest.mark.parametrize("initial_queue", [0.0, 0.4])
+def test_an_overload_from_the_first_second_is_shed(initial_queue: float) -> None:
+    """The load is twice what the backends can serve; they start with a queue of `initial_queue` seconds."""
+    asked, in_aim = overloaded(initial_queue, 30.0)
     assert in_aim >= 0.4 * asked
