--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -102,7 +102,7 @@
 
 
 def fleet(gateways: int, settings: Settings = SITE, configured: int = 0, cold: int = 2) -> Fleet:
-    """A loaded fleet of as backend_count backends as gateways, at least 12, at the start of the cold backends."""
+    """A loaded fleet, with one backend for each gateway but at least 12, as the cold backends start."""
     backend_count = max(gateways, 12)
     made = Fleet(gateways, settings, configured)
     warm = [f"w{n}" for n in range(backend_count - cold)]
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""What the module decides of connections: learned bounds, sizes, and what is opened ahead."""
+"""Tests the decisions about connections: learned limits, pool sizes and preconnecting."""
 
 from __future__ import annotations
 
@@ -25,49 +25,49 @@
     return [a for a in actions if isinstance(a, SetPoolSize)]
 
 
-def asked(number: int, now: float) -> Request:
-    """Of a customer of its own, so that no quota binds."""
+def new_request(number: int, now: float) -> Request:
+    """A request of a customer of its own, so that no quota limits it."""
     return replace(request(number), customer=f"c{number}", deadline=now + 4.0)
 
 
 def ask(made: Gateway, number: int, now: float) -> str:
-    """Where a request goes."""
-    sent = sends(made.handle(asked(number, now), now))
+    """Sends a request; returns the backend it goes to, empty if it is held or refused."""
+    sent = sends(made.handle(new_request(number, now), now))
     return sent[0].backend if sent else ""
 
 
-def full(made: Gateway, now: float) -> list[Action]:
-    """One is out at the one backend, and the next finds that it takes no more."""
+def fill(made: Gateway, now: float) -> list[Action]:
+    """Two requests to the only backend, whose limit is one connection: the second fails to connect."""
     assert [ask(made, n, now) for n in (1, 2)] == ["a", "a"]
-    told = made.handle(ConnectFailed("a", 1), now)
+    actions = made.handle(ConnectFailed("a", 1), now)
     made.handle(ended(2, 0, "a", Outcome.NO_CONNECTION), now)
-    return told
+    return actions
 
 
-def test_a_full_table_lowers_what_is_sent_at_once_and_holds_nothing_against_the_backend() -> None:
+def test_a_backend_at_its_connection_limit_gets_fewer_requests_but_is_not_failing() -> None:
     made = gateway(listed=backends(backend("a")))
-    assert sizes(full(made, 100.0)) == [SetPoolSize("a", float("inf"), 1.0, CROWDED_IDLE)]
+    assert sizes(fill(made, 100.0)) == [SetPoolSize("a", float("inf"), 1.0, CROWDED_IDLE)]
     assert made.servers["a"].bad == 0 and not made.down()
-    assert ask(made, 3, 100.2) == ""  # one is out, and no more is taken
+    assert ask(made, 3, 100.2) == ""  # one is in flight, and no more are accepted
     made.handle(ended(1, 0, "a", Outcome.SERVED), 100.3)
     assert ask(made, 4, 100.3) == "a"
 
 
-def test_without_that_part_a_failed_open_is_a_failure() -> None:
+def test_without_learned_limits_a_failed_connect_counts_as_failure() -> None:
     made = gateway(listed=backends(backend("a")), pool=PoolSettings(learned=False))
-    assert not sizes(full(made, 100.0)) and made.servers["a"].bad > 0
+    assert not sizes(fill(made, 100.0)) and made.servers["a"].bad > 0
 
 
-def test_an_open_that_fails_later_is_held_against_the_backend_again() -> None:
+def test_a_failed_connect_below_the_learned_limit_counts_as_failure() -> None:
     made = gateway(listed=backends(backend("a")))
-    full(made, 100.0)
+    fill(made, 100.0)
     made.handle(ended(1, 0, "a", Outcome.SERVED), 100.3)
     assert ask(made, 3, 101.0) == "a"
-    made.handle(ended(3, 0, "a", Outcome.NO_CONNECTION), 101.0)  # and nothing told that it was heard from
+    made.handle(ended(3, 0, "a", Outcome.NO_CONNECTION), 101.0)  # without a ConnectFailed event
     assert made.servers["a"].bad > 0
 
 
-def test_two_hundred_gateways_raise_a_learned_bound_by_two_a_second_together() -> None:
+def test_two_hundred_gateways_together_raise_a_learned_limit_by_two_a_second() -> None:
     raised = 0
     for me in range(200):
         made = gateway(listed=backends(backend("a")), gateway_index=me, gateways=200)
@@ -80,24 +80,26 @@
     assert 0.7 * 300 / LINKS_MORE < raised < 1.1 * 300 / LINKS_MORE
 
 
-def test_idle_connections_are_kept_for_the_load_and_chance_above_it() -> None:
+def test_idle_connections_are_kept_for_the_load_and_its_variation() -> None:
     made = gateway(listed=backends(backend("a")), pool=ON)
-    told: list[SetPoolSize] = []
+    pool_sizes: list[SetPoolSize] = []
     number = 0
-    for step in range(400):  # three out at any time
+    for step in range(400):  # three in flight at any time
         now = 100.0 + step / 10
         number += 1
-        told += sizes(made.handle(asked(number, now), now))
+        pool_sizes += sizes(made.handle(new_request(number, now), now))
         if step >= 3:
-            told += sizes(made.handle(ended(number - 3, 0, "a", Outcome.SERVED), now))
-    assert [s.max_idle for s in told] == sorted({s.max_idle for s in told}) and 5 <= told[-1].max_idle <= 8
-    for left in range(number - 2, number + 1):
-        made.handle(ended(left, 0, "a", Outcome.SERVED), 141.0)
-    assert ask(made, 1000, 200.0) == "a"  # after a quiet minute
+            pool_sizes += sizes(made.handle(ended(number - 3, 0, "a", Outcome.SERVED), now))
+    assert (
+        [s.max_idle for s in pool_sizes] == sorted({s.max_idle for s in pool_sizes})
+        and 5 <= pool_sizes[-1].max_idle <= 8)
+    for remaining in range(number - 2, number + 1):
+        made.handle(ended(remaining, 0, "a", Outcome.SERVED), 141.0)
+    assert ask(made, 1000, 200.0) == "a"  # after a minute without requests
     assert made.servers["a"].keep == 1
 
 
-def test_off_nothing_is_said_of_sizes() -> None:
+def test_pool_sizes_are_only_set_if_enabled() -> None:
     made = gateway(listed=backends(backend("a")))
     actions = made.handle(request(1), 100.0) + made.handle(ended(1, 0, "a", Outcome.SERVED), 100.1)
     assert not sizes(actions)
@@ -105,7 +107,7 @@
     assert sizes(made.handle(request(2), 100.2))
 
 
-def test_a_backend_that_begins_to_serve_is_warmed_where_it_will_be_used() -> None:
+def test_connections_to_a_new_backend_are_opened_ahead_by_gateways_that_will_use_it() -> None:
     made = gateway(pool=ON)
     actions = made.handle(backends(backend("new"), backend("leaving", status=BackendStatus.DRAINING),
                                    kind=ListKind.CHANGES), 100.0)
@@ -114,23 +116,23 @@
     assert made.handle(TimerExpired("wnew"), 101.0) == [Preconnect("new", 1)]
     assert not made.handle(TimerExpired("wleaving"), 101.0) and not made.handle(
         TimerExpired("wnobody"), 101.0)
-    far = gateway(pool=ON, gateways=200, listed=backends(*(backend(f"b{n}") for n in range(200))))
-    warmed = sum(bool(far.handle(TimerExpired(f"wb{n}"), 101.0)) for n in range(200))
-    assert 0 < warmed < 40  # its own part of them
+    large_fleet = gateway(pool=ON, gateways=200, listed=backends(*(backend(f"b{n}") for n in range(200))))
+    preconnects = sum(bool(large_fleet.handle(TimerExpired(f"wb{n}"), 101.0)) for n in range(200))
+    assert 0 < preconnects < 40  # only to its own subset of the backends
 
 
-@pytest.mark.parametrize(("told", "why"), [
+@pytest.mark.parametrize(("options", "message"), [
     (5, "no object"), ({"marign": 1}, "unknown key 'marign'"), ({"max_age": "x"}, "max_age is no number"),
     ({"max_age": -1}, "from 0 to 86400"), ({"opening": 0}, "from 1 to 4096"), ({"opening": 1.5}, "whole"),
     ({"opening": True}, "whole"), ({"warm": 1}, "neither true nor false"),
     ({"margin": float("nan")}, "margin"),
 ])
-def test_settings_out_of_form_are_told(told: object, why: str) -> None:
-    with pytest.raises(ValueError, match=why):
-        read_pool(told)
+def test_invalid_pool_settings_are_rejected(options: object, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
+        read_pool(options)
 
 
-def test_settings_are_optional() -> None:
+def test_pool_settings_are_optional() -> None:
     assert read_pool({}) == PoolSettings()
     assert read_pool({"max_age": 60, "sized": True, "opening": 3}) == PoolSettings(
         max_age=60, sized=True, opening=3)
