--- a/tests/test_incident_growth.py
+++ b/tests/test_incident_growth.py
@@ -108,7 +108,9 @@
 @pytest.mark.parametrize("class_name", ["read", "sign"])
 @pytest.mark.parametrize("gateways", [3, 200])
 def test_the_cost_of_a_request_does_not_grow_with_the_list(gateways: int, class_name: str) -> None:
-    assert cost_of_requests(MANY, gateways, class_name) <= MAX_GROWTH * cost_of_requests(USUAL, gateways, class_name)
+    assert (
+        cost_of_requests(MANY, gateways, class_name)
+        <= MAX_GROWTH * cost_of_requests(USUAL, gateways, class_name))
 
 
 @pytest.mark.parametrize("gateways", [3, 24, 200])
