--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -206,8 +206,10 @@
         """Fires the timers due until then, and times out attempts."""
         while True:
             next_timer = min(self.timers, default=(math.inf, ""))
-            next_timeout = min(((a.until, n, p) for n, p, a in self.in_flight() if n in self.open_requests
-                        and n not in self.streaming), default=(math.inf, 0, 0))
+            next_timeout = min(
+                ((a.until, n, i) for n, i, a in self.in_flight()
+                 if n in self.open_requests and n not in self.streaming),
+                default=(math.inf, 0, 0))
             if min(next_timer[0], next_timeout[0]) > until:
                 break
             if next_timer[0] <= next_timeout[0]:
@@ -254,8 +256,9 @@
         units = min(deployment.max_units, [1.0, 0.5, 3.0, deployment.max_units][pick // 50 % 4])
         gateway_count = 1 + pick // 200 % deployment.gateways
         timeout = min(request_class.deadline, 0.02 + 3 * span)
-        checker.handle(Request(number, request_class.name, plan.name, f"{plan.name}{pick // 90 % 2}",
-                           checker.now + timeout, units, gateway_count, 0, bool(pick % 2)))
+        checker.handle(Request(
+            number, request_class.name, plan.name, f"{plan.name}{pick // 90 % 2}", checker.now + timeout, units,
+            gateway_count, 0, bool(pick % 2)))
     elif kind == "end" and in_flight:
         ended_number, index, _ = in_flight[pick % len(in_flight)]
         checker.end(ended_number, index, ENDS[pick // 7 % len(ENDS)], 1.0 + pick % 5)
