--- a/embersill/call_budget.py
+++ b/embersill/call_budget.py
@@ -75,7 +75,8 @@
         use = self.uses.get(throttle)
         used = None if use is None else use.used_share
         if use is None and throttle.plan.rate > 0:
-            use_if_even = throttle.own * throttle.width  # at all gateways: totals may lack unreported demand
+            # demand at all gateways if it is even: totals may lack unreported demand
+            use_if_even = throttle.own * throttle.width
             used = max(throttle.total, use_if_even) / throttle.plan.rate or None
         near = used is not None and used >= NEAR_QUOTA
         if near and not throttle.thin and not self.has_demand_priority(throttle, now):
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -257,8 +257,8 @@
         gateway_count = 1 + pick // 200 % deployment.gateways
         timeout = min(request_class.deadline, 0.02 + 3 * span)
         checker.handle(Request(
-            number, request_class.name, plan.name, f"{plan.name}{pick // 90 % 2}", checker.now + timeout, units,
-            gateway_count, 0, bool(pick % 2)))
+            number, request_class.name, plan.name, f"{plan.name}{pick // 90 % 2}", checker.now + timeout,
+            units, gateway_count, 0, bool(pick % 2)))
     elif kind == "end" and in_flight:
         ended_number, index, _ = in_flight[pick % len(in_flight)]
         checker.end(ended_number, index, ENDS[pick // 7 % len(ENDS)], 1.0 + pick % 5)
