--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -20,7 +20,7 @@
 from embersill.control import Gateway
 from embersill.interface import ListKind, Settings
 from embersill.net.backends import Dialer
-from embersill.net.clients import BACKLOG, Front
+from embersill.net.clients import BACKLOG, ClientServer
 from embersill.net.console import MOST_CALLERS, Console, Refused
 from embersill.net.counter import Counter, CounterClient
 from embersill.net.discovery import LEAST_LIST, LIST_COST, MOST_LIST, Discovery
@@ -186,7 +186,7 @@
             self.driver.list_age = self.discovery.age
         room = memory * BODIES_PART / (2 * clients)
         share = int(min(max(room, LEAST_SHARE), MOST_SHARE))
-        self.front = Front(self.driver, told.settings, clock, clients, self.serves, share)
+        self.front = ClientServer(self.driver, told.settings, clock, clients, self.serves, share)
         self.stopped = asyncio.Event()  # it is to end, by a signal or at the end of a lame duck's time
         self.duck = LameDuck(clock, self.front, self.stopped.set)
         self.handover = Handover(told.folder, self.driver, self.front, self.duck)
@@ -321,7 +321,7 @@
         One on which something has come is read first, so that no request is crossed.
         """
         end = self.driver.clock() + at_most
-        while not self.front.close_unasked() or self.driver.unanswered:
+        while not self.front.close_idle_without_unread() or self.driver.unanswered:
             if signal_ends and self.signalled.is_set() or self.driver.clock() >= end:
                 return
             await asyncio.sleep(CLOSE_EVERY)
@@ -404,7 +404,7 @@
         if not drained:
             self.driver.ends_at = self.driver.clock() + left
         if self.handover.gave:
-            await self.front.wait_moved(left)
+            await self.front.wait_handed_over(left)
             await self.front.stop_listening()
         else:
             await asyncio.sleep(still_coming)
@@ -418,7 +418,7 @@
         self.driver.ends_at = self.driver.clock()  # what is read from here on is refused
         self.driver.rescue_all()
         self.front.close_idle()
-        await asyncio.gather(self.front.wait_drained(LAST_BYTES), self.driver.settle(LAST_BYTES))
+        await asyncio.gather(self.front.wait_flushed(LAST_BYTES), self.driver.settle(LAST_BYTES))
         self.front.close()
         if self.following is not None:
             self.following.cancel()
--- a/embersill/lab/soak/play.py
+++ b/embersill/lab/soak/play.py
@@ -28,7 +28,7 @@
 from embersill.lab.soak.lateness import Lateness
 from embersill.lab.soak.observations import Attempt, AttemptEnd, ClientRequest, Violation
 from embersill.lab.soak.plan import LIST_WRITTEN_WITHIN, Fault, FaultAt, SoakPlan
-from embersill.net.bodies import ended_unread
+from embersill.net.bodies import closed_by_peer
 
 SHIM_SOURCE = pathlib.Path(__file__).parent / "shim.c"
 HELD_UP = 0.15  # seconds
@@ -128,7 +128,7 @@
     def attempted(self, request: ClientRequest, attempt: Attempt) -> None:
         """A whole attempt has come: no earlier one may be out any more."""
         for earlier in request.attempts:
-            if earlier.end is AttemptEnd.OPEN and not ended_unread((earlier.descriptor,)):
+            if earlier.end is AttemptEnd.OPEN and not closed_by_peer((earlier.descriptor,)):
                 self.violations.append(
                     Violation("duplicate", request.call_id, f"out at {earlier.backend} and {attempt.backend}")
                 )
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -17,7 +17,7 @@
 import httptools
 
 from embersill.interface import Outcome, PoolSettings
-from embersill.net.bodies import READ, WHOLE, Sink, Upload, is_readable
+from embersill.net.bodies import READ_SIZE, STREAMING_THRESHOLD, Sink, Upload, is_readable
 from embersill.net.framing import AnswerFeeder, BadFraming, FramingFields
 from embersill.net.pool import Address, Failure, Link, Pool, Waiter
 
@@ -92,7 +92,7 @@
         if self.pool is not None:
             self.pool.withdraw(self)
         if self.upload is not None:
-            self.upload.wake = None
+            self.upload.on_data = None
         if self.connection is not None:
             self.connection.give_up(self)
         self.done(self, answer)
@@ -164,12 +164,12 @@
         upload = attempt.upload
         if upload is not None:
             while not (self.unsent or upload.done):
-                piece = upload.take()
+                piece = upload.next_chunk()
                 if not piece:
                     break
                 self.moved_at = self.pool.clock()
                 self.transport.write(piece)
-            upload.room()
+            upload.on_space()
         if not self.unsent and (upload is None or upload.done):
             self.counted = True
             self.dialer.written += 1
@@ -192,7 +192,7 @@
         self.counted, self.moved_at = False, self.pool.clock()
         self.transport.write(b"%bX-Budget: %.3f\r\n\r\n%b" % (attempt.head, wait, attempt.body))
         if attempt.upload is not None:
-            attempt.upload.wake = self.pump
+            attempt.upload.on_data = self.pump
         self.pump()
 
     def look(self, now: float) -> None:
@@ -265,7 +265,7 @@
         self.length = framing.length
         self.to_the_end = self.length is None and not framing.chunked and self.status not in (204, 304)
         # of an answer that is no service nobody needs a long body
-        self.unwanted = self.status != 200 and (self.length or 0) > WHOLE
+        self.unwanted = self.status != 200 and (self.length or 0) > STREAMING_THRESHOLD
 
     def on_body(self, body: bytes) -> None:
         if self.complete or self.badly_framed:
@@ -278,7 +278,7 @@
             if self.status == 200:
                 self.dialer.loop.call_later(PASS_AFTER, self.pass_late, self.attempt)
         self.parts.append(body)
-        if self.size > WHOLE or (self.length or 0) > WHOLE:
+        if self.size > STREAMING_THRESHOLD or (self.length or 0) > STREAMING_THRESHOLD:
             self.unwanted = self.unwanted or self.status != 200
             self.pass_on()
 
@@ -296,7 +296,7 @@
             return attempt.end(Answer(Outcome.CANCELLED))
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self.sink, sink.room = sink, self.resume
+        self.sink, sink.on_writable = sink, self.resume
         self.paused = not sink.write(b"".join(self.parts))
         self.parts = []
         self.pace()
@@ -407,7 +407,7 @@
         self.dial_timeout = dial_timeout
         self.loop = asyncio.get_running_loop()
         self.pool = Pool(clock, self.open, most, keepalive, settings or PoolSettings(), seed)
-        self.buffer = memoryview(bytearray(READ))  # what is read is copied out before anything else is
+        self.buffer = memoryview(bytearray(READ_SIZE))  # what is read is copied out before anything else is
         self.written = 0  # attempts that were written whole
         self.sweeper = self.loop.call_later(SWEEP_EVERY, self.sweep)
 
--- a/embersill/net/bodies.py
+++ b/embersill/net/bodies.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-WHOLE = 64 * 1024  # bytes up to which a body or an answer is taken whole before it goes on
-MOST_BODY = 32 * 1024 * 1024  # bytes of a request's body
-READ = 64 * 1024  # bytes read at a time, into one buffer for all connections
+STREAMING_THRESHOLD = 64 * 1024  # bytes up to which a body or an answer is taken whole before it goes on
+MAX_BODY = 32 * 1024 * 1024  # bytes of a request's body
+READ_SIZE = 64 * 1024  # bytes read at a time, into one buffer for all connections
 
 
 class Socket(Protocol):
@@ -28,7 +28,7 @@
     return bool(waiting.poll(0))
 
 
-def ended_unread(descriptors: Iterable[int]) -> list[int]:
+def closed_by_peer(descriptors: Iterable[int]) -> list[int]:
     """Those of the sockets whose other end has closed or reset, also behind bytes that were not read yet."""
     waiting, ended = select.poll(), []
     for descriptor in descriptors:
@@ -43,54 +43,54 @@
 class Sink(Protocol):
     """Where an answer goes while it still comes; `room` is called when it has room again."""
 
-    room: Callable[[], None] | None
+    on_writable: Callable[[], None] | None
 
     def write(self, data: bytes) -> bool: ...
 
     def finish(self) -> None: ...
 
-    def break_off(self) -> None: ...
+    def abort(self) -> None: ...
 
 
 class Upload:
     """A request's body on its way from the client to one backend, in the backend's framing."""
 
     def __init__(self, length: int | None, most: int, room: Callable[[], None]) -> None:
-        self.length, self.most, self.room = length, most, room
+        self.length, self.max_buffered, self.on_space = length, most, room
         self.pieces: deque[bytes] = deque()
-        self.size = 0  # bytes that wait here
-        self.whole = self.taken = self.done = False  # all has come; some has, or all has, gone on
-        self.wake: Callable[[], None] | None = None  # the connection that writes it on
+        self.buffered = 0  # bytes that wait here
+        self.complete = self.started = self.done = False  # all has come; some has, or all has, gone on
+        self.on_data: Callable[[], None] | None = None  # the connection that writes it on
 
     @property
     def full(self) -> bool:
-        return self.size >= self.most
+        return self.buffered >= self.max_buffered
 
     @property
-    def header(self) -> bytes:
+    def framing_header(self) -> bytes:
         if self.length is None:
             return b"Transfer-Encoding: chunked"
         return b"Content-Length: %d" % self.length
 
     def feed(self, data: bytes) -> None:
         self.pieces.append(data)
-        self.size += len(data)
-        if self.wake is not None:
-            self.wake()
+        self.buffered += len(data)
+        if self.on_data is not None:
+            self.on_data()
 
     def end(self) -> None:
-        self.whole = True
-        if self.wake is not None:
-            self.wake()
+        self.complete = True
+        if self.on_data is not None:
+            self.on_data()
 
-    def take(self) -> bytes:
+    def next_chunk(self) -> bytes:
         """The next bytes for the backend; empty where there are none now, or no more."""
         if self.pieces:
             piece = self.pieces.popleft()
-            self.size -= len(piece)
-            self.taken = True
+            self.buffered -= len(piece)
+            self.started = True
             text = piece if self.length is not None else b"%x\r\n%b\r\n" % (len(piece), piece)
-        elif self.whole and not self.done:
+        elif self.complete and not self.done:
             self.done = True
             text = b"0\r\n\r\n" if self.length is None else b""
         else:
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -240,7 +240,7 @@
         over = pending.over
         self.post(AttemptEnded(
             pending.number, place, attempt.backend, answer.outcome, elapsed, over, answer.units, (),
-            attempt.upload is None or not attempt.upload.taken))
+            attempt.upload is None or not attempt.upload.started))
         self.forget(pending)
 
     # the module
@@ -360,7 +360,7 @@
         elif pending.sink is not None and status == 200:
             pending.sink.finish()
         elif pending.sink is not None:
-            pending.sink.break_off()  # what has gone on can't be taken back, but it must not look whole
+            pending.sink.abort()  # what has gone on can't be taken back, but it must not look whole
         for attempt in pending.attempts:
             if pending.sink is not None and not attempt.ended:
                 attempt.end(Answer(Outcome.CANCELLED))
--- a/embersill/net/framing.py
+++ b/embersill/net/framing.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 OPTIONAL_WHITE_SPACE = b" \t"  # OWS of RFC 9110, section 5.6.3
-MOST_LENGTH_DIGITS = 18  # of a Content-Length: more would pass the signed 64 bits that peers count in
+MAX_LENGTH_DIGITS = 18  # of a Content-Length: more would pass the signed 64 bits that peers count in
 CHUNKED = b"chunked"
 HEAD_END = b"\r\n\r\n"
 LENGTH_FIELD, CODING_FIELD = b"content-length:", b"transfer-encoding:"
@@ -45,7 +45,7 @@
 def read_length(values: Sequence[bytes]) -> int:
     """The one length that all lines of Content-Length agree on, in bytes."""
     members = split_list(values)
-    if not all(member.isdigit() and len(member) <= MOST_LENGTH_DIGITS for member in members):
+    if not all(member.isdigit() and len(member) <= MAX_LENGTH_DIGITS for member in members):
         raise BadFraming("the Content-Length is malformed")
     lengths = {int(member) for member in members}
     if len(lengths) != 1:
@@ -91,21 +91,21 @@
     may be a framing field, so that whatever else is wrong with a head is seen at once.
     """
 
-    __slots__ = ("at_line_start", "held", "length", "started", "whole")
+    __slots__ = ("at_line_start", "held", "length", "started", "complete")
 
     def __init__(self) -> None:
         self.held = b""  # the begin of a line that may be a framing field
         self.at_line_start = True
         self.started = False  # the first line has begun
         self.length: int | None = None
-        self.whole = False  # the head's last line has come
+        self.complete = False  # the head's last line has come
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
         """What the parser is to read of the head, and what follows the head."""
         if not self.started and data[:1] not in (b"\r", b"\n"):
             end = data.find(HEAD_END) + len(HEAD_END)
-            if end >= len(HEAD_END) and is_plain(data[:end]):
-                self.whole = True
+            if end >= len(HEAD_END) and is_unambiguous(data[:end]):
+                self.complete = True
                 return data[:end], data[end:]
         return self.feed_lines(data)
 
@@ -113,23 +113,23 @@
         text: list[bytes] = []
         data = self.held + data
         self.held = b""
-        while data and not self.whole:
+        while data and not self.complete:
             line, ended, data = data.partition(b"\n")
             line += ended
-            if not ended and self.is_held(line):
+            if not ended and self.must_hold(line):
                 self.held = line
             else:
-                text.append(self.rewrite(line) if ended and self.at_line_start else line)
+                text.append(self.normalize_line(line) if ended and self.at_line_start else line)
                 self.end_line(line, bool(ended))
         return b"".join(text), data
 
     def end_line(self, line: bytes, ended: bool) -> None:
         blank = self.at_line_start and line.strip(b"\r\n") == b""
-        self.whole = blank and ended and self.started
+        self.complete = blank and ended and self.started
         self.started = self.started or not blank  # blank lines before the first one belong to no head
         self.at_line_start = ended
 
-    def is_held(self, line: bytes) -> bool:
+    def must_hold(self, line: bytes) -> bool:
         """True for the begin of a line that could still become the head's last or a framing field."""
         if not self.at_line_start:
             return False
@@ -137,7 +137,7 @@
         framing = any(begin.startswith(field) or field.startswith(begin) for field in FIELDS)
         return line == b"\r" or self.started and framing
 
-    def rewrite(self, line: bytes) -> bytes:
+    def normalize_line(self, line: bytes) -> bytes:
         """A line in the parser's spelling; unchanged where it is no framing field, or a malformed one."""
         name, colon, value = line.partition(b":")
         field = name.lower() + colon
@@ -175,7 +175,7 @@
         while data and self.head is not None:
             text, data = self.head.feed(data)
             self.feed_parser(text)
-            if self.head.whole:
+            if self.head.complete:
                 self.head = HeadNormalizer() if is_head_due() else None
         if data:
             self.feed_parser(data)
@@ -187,7 +187,7 @@
     return len(piece) if found < 0 else found + len(HEAD_END) - len(before)
 
 
-def is_plain(head: bytes) -> bool:
+def is_unambiguous(head: bytes) -> bool:
     """True for a head whose framing fields, if any, every parser reads alike."""
     values: list[bytes] = FRAMING_FIELD.findall(head)
     return not values or len(values) == 1 and PLAIN_VALUE.fullmatch(values[0]) is not None
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -19,7 +19,7 @@
 from dataclasses import asdict
 from typing import Any
 
-from embersill.net.clients import ClientConnection, ConnectionHistory, Front
+from embersill.net.clients import ClientConnection, ConnectionHistory, ClientServer
 from embersill.net.driver import Driver
 from embersill.net.lameduck import LameDuck
 
@@ -152,7 +152,7 @@
 class Handover:
     """This process's part in upgrades: first as the successor of one that runs, then as a predecessor."""
 
-    def __init__(self, folder: str | None, driver: Driver, front: Front, duck: LameDuck) -> None:
+    def __init__(self, folder: str | None, driver: Driver, front: ClientServer, duck: LameDuck) -> None:
         self.driver, self.front, self.duck = driver, front, duck
         self.console = ""  # where staff call this process
         self.successor = ""  # and where they call the one that takes over, or that came while this one ended
@@ -226,7 +226,7 @@
 
     def limit_to(self, message: Message) -> None:
         """The two share the limits: what the other still holds is not to be had here."""
-        self.front.elsewhere, self.driver.pool.elsewhere = int(message["clients"]), int(message["backends"])
+        self.front.held_by_predecessor, self.driver.pool.elsewhere = int(message["clients"]), int(message["backends"])
 
     # as the predecessor
 
@@ -288,8 +288,8 @@
             return self.take_back()
         self.duck.hand_on()
         log.info("handed over to a successor; %d requests are still open here", self.driver.unanswered)
-        self.front.successor = self.move
-        self.front.move_idle()
+        self.front.send_to_successor = self.move
+        self.front.hand_over_idle()
         self.loop.call_later(TELL_EVERY, self.tell_holds)
 
     def move(self, connection: ClientConnection) -> bool:
@@ -311,11 +311,11 @@
     def take_back(self) -> None:
         """The successor went before this process was told to stop: it serves on, with what credit is left."""
         log.warning("the successor is gone: this process serves on")
-        self.gave, self.front.successor, self.successor = False, None, ""
+        self.gave, self.front.send_to_successor, self.successor = False, None, ""
         self.driver.pool.keeping = True
         self.driver.take_back()
         self.front.resume_accepting()
-        self.front.stay()
+        self.front.cancel_hand_over()
         self.shut()
         self.open()  # the path may be the successor's by now
         self.duck.go_on()
@@ -335,7 +335,7 @@
                 self.duck.set(read_seconds(message, "left"))
                 self.duck.hand_on()
             case "client":
-                self.front.adopt(descriptors[0], read_history(message))
+                self.front.adopt_connection(descriptors[0], read_history(message))
             case "holds":
                 self.limit_to(message)
             case "suspend":
@@ -388,7 +388,7 @@
             return self.take_back()
         if not self.given.done():
             self.given.set_result(False)
-        self.front.elsewhere = self.driver.pool.elsewhere = 0
+        self.front.held_by_predecessor = self.driver.pool.elsewhere = 0
         self.driver.alone()
 
     def write_state(self, state: Message) -> None:
--- a/embersill/net/hold_ups.py
+++ b/embersill/net/hold_ups.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-LOOK_EVERY = 0.1  # seconds between looks
-HELD_UP = 0.05  # seconds by which looks are late from which the loop counts as held up
+CHECK_INTERVAL = 0.1  # seconds between looks
+STALL_THRESHOLD = 0.05  # seconds by which looks are late from which the loop counts as held up
 
 
-class HoldUps:
+class LoopStalls:
     """Told of each look of a loop. All times are seconds of the monotonic clock.
 
     The loop polls all connections between any two looks. So what is read now came after the look before the
@@ -14,16 +14,16 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.last_look = self.look_before = now
-        self.late = 0.0  # seconds by which the last look was
+        self.last_check = self.previous_check = now
+        self.last_delay = 0.0  # seconds by which the last look was
 
-    def note_look(self, now: float) -> float:
+    def record_check(self, now: float) -> float:
         """A look runs; returns the seconds by which it is late."""
-        self.late = now - self.last_look - LOOK_EVERY
-        self.look_before, self.last_look = self.last_look, now
-        return self.late
+        self.last_delay = now - self.last_check - CHECK_INTERVAL
+        self.previous_check, self.last_check = self.last_check, now
+        return self.last_delay
 
     def earliest_arrival(self, now: float) -> float:
         """When bytes that are read now may have come: now, unless looks show that the loop was held up."""
-        overdue = max(now - self.last_look - LOOK_EVERY, 0.0)
-        return self.look_before if self.late + overdue > HELD_UP else now
+        overdue = max(now - self.last_check - CHECK_INTERVAL, 0.0)
+        return self.previous_check if self.last_delay + overdue > STALL_THRESHOLD else now
--- a/embersill/net/lameduck.py
+++ b/embersill/net/lameduck.py
@@ -5,13 +5,13 @@
 import asyncio
 from collections.abc import Callable
 
-from embersill.net.clients import Front
+from embersill.net.clients import ClientServer
 
 
 class LameDuck:
     """The time until the process is to end, if it is a lame duck. A successor goes on with it."""
 
-    def __init__(self, clock: Callable[[], float], front: Front, over: Callable[[], None]) -> None:
+    def __init__(self, clock: Callable[[], float], front: ClientServer, over: Callable[[], None]) -> None:
         self.clock, self.front, self.over = clock, front, over
         self.loop = asyncio.get_running_loop()
         self.until: float | None = None
@@ -24,7 +24,7 @@
     def set(self, left: float | None) -> None:
         """Makes it one for so many seconds, or with None takes that back."""
         self.hand_on()
-        self.front.leaving = left is not None
+        self.front.lame_duck = left is not None
         self.until = None if left is None else self.clock() + left
         self.go_on()
 
--- a/embersill/net/listening.py
+++ b/embersill/net/listening.py
@@ -10,9 +10,9 @@
 import logging
 import socket
 
-LISTEN_WITHIN = 5.0  # seconds for which an address is tried: ready is owed within 10
-LISTEN_AGAIN = 0.05  # seconds between tries
-MOMENTARY = frozenset(
+LISTEN_TIMEOUT = 5.0  # seconds for which an address is tried: ready is owed within 10
+LISTEN_RETRY_INTERVAL = 0.05  # seconds between tries
+TRANSIENT_ERRORS = frozenset(
     (
         errno.ENFILE,
         errno.EMFILE,
@@ -50,12 +50,12 @@
     `share_port`: a successor that can't be given this socket, as this process hangs, can still bind its own.
     """
     loop = asyncio.get_running_loop()
-    end = loop.time() + LISTEN_WITHIN
+    end = loop.time() + LISTEN_TIMEOUT
     while True:
         try:
             return bind_listener(address, backlog, share_port)
         except OSError as error:
-            if error.errno not in MOMENTARY or loop.time() >= end:
+            if error.errno not in TRANSIENT_ERRORS or loop.time() >= end:
                 raise
             log.warning("%s:%d is tried again: %s", *address, error)
-        await asyncio.sleep(LISTEN_AGAIN)
+        await asyncio.sleep(LISTEN_RETRY_INTERVAL)
--- a/tests/framing_model.py
+++ b/tests/framing_model.py
@@ -379,7 +379,7 @@
 
     def __init__(self) -> None:
         self.data = b""
-        self.room: Callable[[], None] | None = None
+        self.on_writable: Callable[[], None] | None = None
 
     def write(self, data: bytes) -> bool:
         self.data += data
@@ -388,7 +388,7 @@
     def finish(self) -> None:
         pass
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         pass
 
 
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -121,7 +121,7 @@
     elif name == "serves nobody":
         control.Gateway.pressed = lambda self, job: True
     elif name == "leaks descriptors":
-        take_socket = clients.Front.take
+        take_socket = clients.ClientServer.start_connection
 
         def leaks(self, sock, *told):
             for _ in range(20):
@@ -131,7 +131,7 @@
                     break
             take_socket(self, sock, *told)
 
-        clients.Front.take = leaks
+        clients.ClientServer.start_connection = leaks
     elif name == "leaks memory":
         kept, taken = [], driver.Driver.take
 
@@ -141,16 +141,16 @@
 
         driver.Driver.take = keeps
     elif name == "waits for half requests for ever":
-        clients.ClientConnection.hurry = lambda self, now: None
+        clients.ClientConnection.check_timeouts = lambda self, now: None
     elif name == "drops all at SIGTERM":
-        set_attribute = clients.Front.__setattr__
+        set_attribute = clients.ClientServer.__setattr__
 
         def ends(self, name, value):
             set_attribute(self, name, value)
             if name == "stopping" and value:
                 os._exit(0)
 
-        clients.Front.__setattr__ = ends
+        clients.ClientServer.__setattr__ = ends
     else:
         raise ValueError(f"no mutant {name!r}")
 
--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -458,7 +458,7 @@
         for part in (None, {"directory": f"{HOST}:4"}):
             told = configured(aggregation=part, limits={"sockets": sockets, "memory_mb": 192})
             program = Program(build_configuration(told, {}))
-            planned[part is not None] = program.dialer.pool.most + program.front.most
+            planned[part is not None] = program.dialer.pool.most + program.front.max_connections
             if program.driver.counter is not None:
                 program.driver.counter.close()
             program.driver.reporter.cancel()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -14,7 +14,7 @@
 from embersill.interface import Outcome
 from embersill.lab.peers import HOST, Asked, free_port, message, reset
 from embersill.net.backends import REST, Answer, Attempt, Dialer
-from embersill.net.bodies import WHOLE, Sink
+from embersill.net.bodies import STREAMING_THRESHOLD, Sink
 from embersill.net.pool import Address, Pool
 from tests.bed import links, no_descriptors, run
 from tests.peers import SOON, BackendPeer, Step
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(("text", "outcome"), [
     (message(200, b"x"), Outcome.SERVED),
     (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SERVED),
-    (b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + message(200, b"x" * WHOLE), Outcome.SERVED),
+    (b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + message(200, b"x" * STREAMING_THRESHOLD), Outcome.SERVED),
     (message(200, b"x", "Connection: close"), Outcome.SERVED),
     (message(200, b"x") + message(200, b"y"), Outcome.SERVED),
     (message(500), Outcome.ERROR),
@@ -105,10 +105,10 @@
     (message(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
     (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
     (b"rubbish\r\n\r\n", Outcome.CONNECTION_LOST),
-    (message(200, b"x" * WHOLE), Outcome.SERVED),
+    (message(200, b"x" * STREAMING_THRESHOLD), Outcome.SERVED),
     (b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Sum: 1\r\n\r\n", Outcome.SERVED),
-    (message(500, b"x" * (WHOLE + 1)), Outcome.ERROR),
-    (message(503, b"x" * (WHOLE + 1), "X-Rejected: 1"), Outcome.REJECTED),
+    (message(500, b"x" * (STREAMING_THRESHOLD + 1)), Outcome.ERROR),
+    (message(503, b"x" * (STREAMING_THRESHOLD + 1), "X-Rejected: 1"), Outcome.REJECTED),
     (message(200, b"x", "Content-Length: 7"), Outcome.CONNECTION_LOST),
     (message(200, b"x", "Transfer-Encoding: chunked"), Outcome.CONNECTION_LOST),
 ])
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,8 +9,8 @@
 import pytest
 
 from embersill.lab.peers import Asked, message, read_message
-from embersill.net.bodies import READ, WHOLE, ended_unread, is_readable
-from embersill.net.clients import READ_WITHIN, SLOWEST
+from embersill.net.bodies import READ_SIZE, STREAMING_THRESHOLD, closed_by_peer, is_readable
+from embersill.net.clients import REQUEST_TIMEOUT, MIN_BODY_RATE
 from tests.bed import Bed, Client, links, request, roomy_settings, run, running
 from tests.peers import SOON, serve
 
@@ -93,7 +93,7 @@
                 if broke:
                     return serve(writer, asked)
                 broke.append(1)
-                writer.write(message(200, b"x" * WHOLE)[:-1])
+                writer.write(message(200, b"x" * STREAMING_THRESHOLD)[:-1])
                 return writer.transport.abort()
 
             for backend in bed.backends:
@@ -125,7 +125,7 @@
                     await asyncio.sleep(0.001)
             (connection,) = bed.program.front.connections
             assert connection.transport is not None
-            assert connection.transport.get_write_buffer_size() <= bed.program.front.share + READ
+            assert connection.transport.get_write_buffer_size() <= bed.program.front.buffer_limit + READ_SIZE
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             status, _, body = await client.answer()
             assert status == 200 and body == 32 * LARGE
@@ -140,8 +140,8 @@
 
 
 @pytest.mark.parametrize("text", [
-    request(1, "extract", body=LARGE), chunked(1, LARGE), request(1, "extract", body=LARGE[:WHOLE]),
-    chunked(1, LARGE[:WHOLE]), chunked(1, b""), request(1, "extract", body=LARGE, Expect="100-continue"),
+    request(1, "extract", body=LARGE), chunked(1, LARGE), request(1, "extract", body=LARGE[:STREAMING_THRESHOLD]),
+    chunked(1, LARGE[:STREAMING_THRESHOLD]), chunked(1, b""), request(1, "extract", body=LARGE, Expect="100-continue"),
 ], ids=["large", "large chunked", "whole", "whole chunked", "empty chunked", "expected"])
 def test_a_body_of_any_size_and_framing_reaches_the_backend_unchanged(text: bytes) -> None:
     async def test() -> None:
@@ -185,15 +185,15 @@
             client = await bed.client()
             client.send(request(1, "extract", body=20 * LARGE))
             async with asyncio.timeout(SOON):
-                while not any(c.paused for c in bed.program.front.connections):
+                while not any(c.read_paused for c in bed.program.front.connections):
                     await asyncio.sleep(0.001)
             (connection,) = bed.program.front.connections
             assert connection.upload is not None
-            assert connection.upload.size <= bed.program.front.share + READ
+            assert connection.upload.buffered <= bed.program.front.buffer_limit + READ_SIZE
             front, clock = bed.program.front, bed.program.front.clock
             front.clock = lambda: clock() + 60.0
-            front.look()
-            assert not connection.ended  # it can't send what is not read
+            front.check_connections()
+            assert not connection.input_ended  # it can't send what is not read
             front.clock = clock
             free.set()
             assert (await client.answer())[0] == 200
@@ -240,8 +240,8 @@
                 while sum(c.body_size for c in bed.program.front.connections) < brought:
                     await asyncio.sleep(0)
             front, clock = bed.program.front, bed.program.front.clock
-            front.clock = lambda: clock() + READ_WITHIN + 150_000 / SLOWEST
-            front.look()
+            front.clock = lambda: clock() + REQUEST_TIMEOUT + 150_000 / MIN_BODY_RATE
+            front.check_connections()
             front.clock = clock
             if ended:
                 assert (await client.answer())[0] == 408 and await client.closed()
@@ -272,4 +272,4 @@
     assert not is_readable(sock)
     sock.close()
     other.close()
-    assert is_readable(sock) and ended_unread([sock.fileno()]) == [-1]
+    assert is_readable(sock) and closed_by_peer([sock.fileno()]) == [-1]
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -14,7 +14,7 @@
 
 from embersill.lab.peers import Asked, message
 from embersill.net.backends import BackendConnection, Dialer
-from embersill.net.clients import LOOK_FOR_ENDS_EVERY, MOST_PIPELINED, ClientConnection
+from embersill.net.clients import DISCONNECT_CHECK_INTERVAL, MAX_PIPELINED, ClientConnection
 from embersill.net.pool import Address
 from tests.bed import Bed, Client, request, roomy_settings
 from tests.bed import with_bed as with_any_bed
@@ -47,7 +47,7 @@
 
 def test_ends_are_looked_for_often_enough() -> None:
     # a look may just have passed when a client goes: half of the time is left for the loop
-    assert LOOK_FOR_ENDS_EVERY <= NOTICED_WITHIN / 2
+    assert DISCONNECT_CHECK_INTERVAL <= NOTICED_WITHIN / 2
 
 
 async def nothing_more(bed: Bed, seen: int) -> None:
@@ -115,7 +115,7 @@
         while not bed.program.driver.figures.others["attempt served"]:
             await asyncio.sleep(0)
         client.writer.write_eof()
-        while any(not c.ended for c in bed.program.front.connections):
+        while any(not c.input_ended for c in bed.program.front.connections):
             await asyncio.sleep(0)
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         status, _, body = await client.answer()
@@ -225,11 +225,11 @@
     async def never(writer: asyncio.StreamWriter, asked: Asked) -> None:
         await free.wait()
 
-    bed.backends[0].script = [never] * MOST_PIPELINED
-    client.send(b"".join(request(n, budget=1000.0) for n in range(1, 10 * MOST_PIPELINED)))
-    while not any(c.paused for c in bed.program.front.connections):
+    bed.backends[0].script = [never] * MAX_PIPELINED
+    client.send(b"".join(request(n, budget=1000.0) for n in range(1, 10 * MAX_PIPELINED)))
+    while not any(c.read_paused for c in bed.program.front.connections):
         await asyncio.sleep(0)
-    return next(c for c in bed.program.front.connections if c.paused)
+    return next(c for c in bed.program.front.connections if c.read_paused)
 
 
 @each_way
@@ -240,7 +240,7 @@
         assert bed.program.driver.unanswered
         WAYS[way](client)
         await gone(bed)
-        assert connection.ended and not bed.program.driver.pending
+        assert connection.input_ended and not bed.program.driver.pending
         taken = bed.program.driver.taken
         while connection.transport is not None:
             await asyncio.sleep(0)
@@ -257,7 +257,7 @@
         client = await bed.client()
         body = b"x" * 150_000  # more than waits here, and less than the kernel holds besides
         client.send(request(2, "extract", budget=1000.0, body=body))
-        while not any(c.paused for c in bed.program.front.connections):
+        while not any(c.read_paused for c in bed.program.front.connections):
             await asyncio.sleep(0)
         client.writer.transport.abort()
         await only_first_is_served(bed, first, free)
@@ -271,11 +271,11 @@
         idle = [await bed.client() for _ in range(20)]
         for number, client in enumerate(idle):
             assert (await client.ask(request(number)))[0] == 200
-        assert front.end_looker is None and not front.paused
+        assert front.disconnect_check_timer is None and not front.read_paused
         client = await bed.client()
         connection = await paused(bed, client)
-        assert front.paused == {connection} and front.end_looker is not None
-        await asyncio.sleep(3 * LOOK_FOR_ENDS_EVERY)
-        assert connection.exchanges and not connection.ended  # it is there, and its requests are not lost
+        assert front.read_paused == {connection} and front.disconnect_check_timer is not None
+        await asyncio.sleep(3 * DISCONNECT_CHECK_INTERVAL)
+        assert connection.exchanges and not connection.input_ended  # it is there, and its requests are not lost
 
     with_bed(test, sockets=4096)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,8 +8,8 @@
 import pytest
 
 from embersill.lab.peers import Asked, message
-from embersill.net.bodies import MOST_BODY, WHOLE
-from embersill.net.clients import MOST_HEAD, READ_WITHIN, SLOWEST, STALLED, STUCK
+from embersill.net.bodies import MAX_BODY, STREAMING_THRESHOLD
+from embersill.net.clients import MAX_HEAD, REQUEST_TIMEOUT, MIN_BODY_RATE, STALLED_AFTER, WRITE_TIMEOUT
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import serve
 
@@ -120,8 +120,8 @@
     (request(1).replace(b"GET ", b"DELETE "), 405),
     (request(1).replace(b"GET ", b"POST "), 405),
     (b"POST /ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
-    (request(1, "extract", body=b"", Content_Length=str(MOST_BODY + 1)), 413),
-    (request(1, "extract", body=b"x" * (WHOLE + 1), X_Budget="soon"), 400),
+    (request(1, "extract", body=b"", Content_Length=str(MAX_BODY + 1)), 413),
+    (request(1, "extract", body=b"x" * (STREAMING_THRESHOLD + 1), X_Budget="soon"), 400),
     (request(1, "extract", drop="Content-Length", body=b"", Transfer_Encoding="chunked", X_Budget="soon")
      + b"20000\r\n" + b"x" * 0x20000 + b"\r\n0\r\n\r\n", 400),
     (request(1, "extract", Transfer_Encoding="chunked"), 400),
@@ -129,7 +129,7 @@
     (request(1, "extract", drop="Content-Length", body=b"0\r\n\r\n", Transfer_Encoding="gzip, chunked"), 501),
     (request(1, "extract").replace(b"Content-Length: 10", b"Content-Length: 10\r\nContent-Length: 11"), 400),
     (request(1, "extract", Expect="200-ok"), 417),
-    (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MOST_HEAD), 431),
+    (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MAX_HEAD), 431),
 ], ids=lambda value: str(value)[:60])
 def test_bad_input_is_told_and_reaches_nobody(text: bytes, status: int) -> None:
     async def test(bed: Bed, client: Client) -> None:
@@ -143,7 +143,7 @@
 
 def test_the_largest_body_passes() -> None:
     async def test(bed: Bed, client: Client) -> None:
-        assert (await client.ask(request(1, "extract", body=b"x" * WHOLE)))[0] == 200
+        assert (await client.ask(request(1, "extract", body=b"x" * STREAMING_THRESHOLD)))[0] == 200
 
     with_bed(test)
 
@@ -173,7 +173,7 @@
             serve(writer, asked)
 
         bed.backends[0].script = [late]
-        bed.program.front.most = 2
+        bed.program.front.max_connections = 2
         client.send(request(1))
         await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
         idle, third = await bed.client(), await bed.client()
@@ -189,16 +189,16 @@
 def test_a_client_that_reads_nothing_is_not_read_either() -> None:
     # its answers would pile up in the gateway's memory
     async def test(bed: Bed, client: Client) -> None:
-        large = message(200, b"x" * WHOLE)
+        large = message(200, b"x" * STREAMING_THRESHOLD)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
-        while not any(c.stuck for c in bed.program.front.connections):
+        while not any(c.write_blocked for c in bed.program.front.connections):
             await asyncio.sleep(0)
         await bed.answered()
         assert bed.program.driver.taken < 1000
-        connection = next(c for c in bed.program.front.connections if c.stuck)
+        connection = next(c for c in bed.program.front.connections if c.write_blocked)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < 3_000_000
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -212,19 +212,19 @@
     # it kept its descriptor and its answers' memory for as long as it liked
     async def test(bed: Bed, client: Client) -> None:
         front, clock = bed.program.front, bed.program.front.clock
-        large = message(200, b"x" * WHOLE)
+        large = message(200, b"x" * STREAMING_THRESHOLD)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
-        while not any(c.stuck for c in front.connections):
+        while not any(c.write_blocked for c in front.connections):
             await asyncio.sleep(0)
         await bed.answered()
-        front.look()
-        assert any(c.stuck for c in front.connections)  # not before its time
-        front.clock = lambda: clock() + STUCK
-        front.look()
-        while any(c.stuck for c in front.connections):
+        front.check_connections()
+        assert any(c.write_blocked for c in front.connections)  # not before its time
+        front.clock = lambda: clock() + WRITE_TIMEOUT
+        front.check_connections()
+        while any(c.write_blocked for c in front.connections):
             await asyncio.sleep(0)
 
     with_bed(test)
@@ -233,15 +233,15 @@
 def test_half_sent_requests_make_way_for_clients_that_ask() -> None:
     async def test(bed: Bed, client: Client) -> None:
         front, now = bed.program.front, bed.program.front.clock()
-        front.looker.cancel()  # only the want of room is to end it
-        front.most = 1
+        front.check_timer.cancel()  # only the want of room is to end it
+        front.max_connections = 1
         client.send(request(1)[:40])
         while not any(c.in_request for c in front.connections):
             await asyncio.sleep(0)
-        assert not front.has_room()
-        front.make_room()
+        assert not front.has_capacity()
+        front.evict_idle()
         assert not any(c.closing for c in front.connections)
-        front.clock = lambda: now + STALLED + 1.0
+        front.clock = lambda: now + STALLED_AFTER + 1.0
         other = await bed.client()
         assert (await other.ask(READY))[0] == 200
         assert await client.closed()
@@ -292,10 +292,10 @@
         client.send(part)
         while not any(c.in_request for c in front.connections):
             await asyncio.sleep(0)
-        front.look()
+        front.check_connections()
         assert not any(c.closing for c in front.connections)  # not before its time
-        front.clock = lambda: clock() + READ_WITHIN + 10 / SLOWEST
-        front.look()
+        front.clock = lambda: clock() + REQUEST_TIMEOUT + 10 / MIN_BODY_RATE
+        front.check_connections()
         assert (await client.answer())[0] == 408
         assert await client.closed() and not bed.program.driver.taken
 
@@ -308,13 +308,13 @@
         client.send(request(1)[:40])
         while not any(c.in_request for c in front.connections):
             await asyncio.sleep(0)
-        front.clock = lambda: clock() + READ_WITHIN
+        front.clock = lambda: clock() + REQUEST_TIMEOUT
         (connection,) = front.connections
         client.send(request(1)[40:50])
-        before = connection.received
-        while connection.received == before:
+        before = connection.last_read_at
+        while connection.last_read_at == before:
             await asyncio.sleep(0)
-        front.look()
+        front.check_connections()
         assert (await client.answer())[0] == 408
 
     with_bed(test)
@@ -327,8 +327,8 @@
         silent = await bed.client()
         while len(front.connections) < 2:
             await asyncio.sleep(0)
-        front.clock = lambda: clock() + READ_WITHIN
-        front.look()
+        front.clock = lambda: clock() + REQUEST_TIMEOUT
+        front.check_connections()
         assert await silent.closed()
         assert (await client.ask(READY))[0] == 200
 
@@ -336,11 +336,11 @@
 
 
 def test_a_flood_of_peers_makes_way_before_clients_and_without_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("embersill.net.clients.ACCEPT_AGAIN", 1000.0)
+    monkeypatch.setattr("embersill.net.clients.ACCEPT_RETRY_INTERVAL", 1000.0)
 
     async def test(bed: Bed, client: Client) -> None:
         front, clock = bed.program.front, bed.program.front.clock
-        front.most = 5
+        front.max_connections = 5
         assert (await client.ask(request(1)))[0] == 200  # the longest idle of all
         flood = [await bed.client() for _ in range(4)]
         for peer in flood:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -220,7 +220,7 @@
 
 def test_a_drain_does_not_wait_for_a_client_that_never_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("embersill.net.clients.STUCK", 0.2)
+        monkeypatch.setattr("embersill.net.clients.WRITE_TIMEOUT", 0.2)
         async with running() as bed:
             bed.backends[0].script = [lambda writer, got: writer.write(message(200, b"x" * 8_000_000))]
             deaf = await bed.client(receive_buffer=4096)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -68,12 +68,12 @@
     places = sorted({0, len(text), *(cut for cut in cuts if cut < len(text))})
     for begin, end in zip(places, places[1:], strict=False):
         piece = text[begin:end]
-        if normalizer.whole:
+        if normalizer.complete:
             behind += piece
             continue
         head, rest = normalizer.feed(piece)
         seen, behind = seen + head, behind + rest
-    assert normalizer.whole
+    assert normalizer.complete
     assert behind == body
     assert seen == FIRST + HEADS[fields]
 
@@ -91,6 +91,6 @@
 def test_blank_lines_before_a_head_belong_to_none() -> None:
     normalizer = HeadNormalizer()
     assert normalizer.feed(b"\r\n\r\n") == (b"\r\n\r\n", b"")
-    assert not normalizer.whole
+    assert not normalizer.complete
     assert normalizer.feed(b"GET / HTTP/1.1\r\n\r\nGET") == (b"GET / HTTP/1.1\r\n\r\n", b"GET")
-    assert normalizer.whole
+    assert normalizer.complete
--- a/tests/test_framing_answers.py
+++ b/tests/test_framing_answers.py
@@ -9,7 +9,7 @@
 
 from embersill.interface import ListKind, Outcome
 from embersill.lab.peers import message
-from embersill.net.bodies import WHOLE
+from embersill.net.bodies import STREAMING_THRESHOLD
 from embersill.net.discovery import Discovery
 from embersill.net.listing import Listing
 from tests.bed import Bed, Client, request, running, with_bed
@@ -533,7 +533,7 @@
     with_bed(test)
 
 
-LARGE = bytes(range(256)) * (3 * WHOLE // 256)
+LARGE = bytes(range(256)) * (3 * STREAMING_THRESHOLD // 256)
 
 
 def large_answers() -> dict[str, bytes]:
@@ -550,7 +550,7 @@
 def test_a_client_can_tell_that_an_answer_passed_on_broke_off(wire: bytes, end: End) -> None:
     async def test(bed: Bed) -> None:
         backend = await replace_backend(bed)
-        places = [WHOLE + 300, len(wire) - 4, len(wire) - 1]  # so few that the backend is not given up
+        places = [STREAMING_THRESHOLD + 300, len(wire) - 4, len(wire) - 1]  # so few that the backend is not given up
         texts = await asyncio.gather(*(
             ask_once(bed, backend, number, whole(wire[:place], end)) for number, place in enumerate(places)
         ))
@@ -565,7 +565,7 @@
 def test_a_client_gets_a_large_answer_whole(wire: bytes) -> None:
     async def test(bed: Bed) -> None:
         backend = await replace_backend(bed)
-        deliveries = [whole(wire), split_at(wire, [WHOLE, 2 * WHOLE]), whole(wire + message(200, b"second"))]
+        deliveries = [whole(wire), split_at(wire, [STREAMING_THRESHOLD, 2 * STREAMING_THRESHOLD]), whole(wire + message(200, b"second"))]
         for number, delivery in enumerate(deliveries):
             seen = read_answer(await ask_once(bed, backend, number, delivery), End.FIN)
             assert (seen.state, seen.status, seen.rest) == (State.WHOLE, b"200", b"")
--- a/tests/test_framing_requests.py
+++ b/tests/test_framing_requests.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from embersill.net.bodies import MOST_BODY, WHOLE
+from embersill.net.bodies import MAX_BODY, STREAMING_THRESHOLD
 from embersill.net.driver import Call, Exchange
 from tests.bed import READY, Bed, Client, request, with_bed
 from tests.framing_model import (
@@ -163,13 +163,13 @@
     assert all_served(check_streams([way(text) for text in texts for way in (whole, by_byte)]), 2)
 
 
-LARGE = bytes(range(256)) * (3 * WHOLE // 256)
+LARGE = bytes(range(256)) * (3 * STREAMING_THRESHOLD // 256)
 
 
 @any_good
 def test_a_large_body_arrives_whole_however_its_length_is_spelled(lines: bytes, body: bytes) -> None:
     text = post(1, lines, chunked(LARGE)) if body == CHUNKS else post(1, sized(lines, len(LARGE)), LARGE)
-    deliveries = [whole(text), split_at(text, [300, WHOLE, 2 * WHOLE]), split_at(text, range(400, 500))]
+    deliveries = [whole(text), split_at(text, [300, STREAMING_THRESHOLD, 2 * STREAMING_THRESHOLD]), split_at(text, range(400, 500))]
     assert all_served(check_streams(deliveries), 2)
 
 
@@ -191,7 +191,7 @@
 def test_a_body_over_the_bound_is_refused_however_its_length_is_spelled(lines: bytes) -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
-        assert (await client.ask(post(1, sized(lines, MOST_BODY + 1), b"")))[0] == 413
+        assert (await client.ask(post(1, sized(lines, MAX_BODY + 1), b"")))[0] == 413
         assert await client.closed() and not bed.seen()
 
     with_bed(test)
@@ -291,7 +291,7 @@
     async def test(bed: Bed) -> None:
         bystander = await bed.client()
         text = post(1, lines, chunked(LARGE)) if body == CHUNKS else post(1, sized(lines, len(LARGE)), LARGE)
-        for place in (WHOLE + 1000, len(text) - 4, len(text) - 1):
+        for place in (STREAMING_THRESHOLD + 1000, len(text) - 4, len(text) - 1):
             _, answers = await send(bed, whole(text[:place], end))
             assert read_answer(answers, End.FIN).status != b"200"
         await settle(bed, bystander)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -61,7 +61,7 @@
             assert (await busy.answer())[0] == 200 and counted(first, "success") == 2
             async with asyncio.timeout(SOON):
                 await stopped
-                while second.front.elsewhere or second.driver.gateway.before:
+                while second.front.held_by_predecessor or second.driver.gateway.before:
                     await asyncio.sleep(0.01)
             for client in (idle, busy, new):
                 assert (await client.ask(request(7, customer="00000000000000c5")))[0] == 200
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -11,7 +11,7 @@
 import pytest
 
 from embersill.lab.peers import HOST, free_port
-from embersill.net.clients import READ_WITHIN
+from embersill.net.clients import REQUEST_TIMEOUT
 from embersill.net.counter import Counter
 from tests.bed import READY, Bed, request, run, with_bed
 from tests.test_program import ROOT, RUN, drained, process, until_ready
@@ -25,9 +25,9 @@
         client = await bed.client()
         while not front.connections:
             await asyncio.sleep(0)
-        front.clock = lambda: clock() + READ_WITHIN
+        front.clock = lambda: clock() + REQUEST_TIMEOUT
         client.put(request(1))
-        front.look()
+        front.check_connections()
         front.clock = clock
         assert (await client.answer())[0] == 200
 
@@ -41,11 +41,11 @@
         assert (await client.ask(request(1)))[0] == 200
         front.clock = lambda: clock() + 60.0
         client.put(request(2))
-        front.make_room()
+        front.evict_idle()
         front.clock = clock
         assert (await client.answer())[0] == 200
         front.clock = lambda: clock() + 60.0
-        front.make_room()  # with nothing on its way it goes
+        front.evict_idle()  # with nothing on its way it goes
         assert await client.closed()
 
     with_bed(test)
--- a/tests/test_incident_late_read.py
+++ b/tests/test_incident_late_read.py
@@ -16,7 +16,7 @@
 
 from embersill.lab.peers import read_message
 from embersill.lab.soak.deployment import Deployment
-from embersill.net.clients import MOST_PIPELINED, STALLED
+from embersill.net.clients import MAX_PIPELINED, STALLED_AFTER
 from tests.bed import run
 from tests.peers import SOON
 from tests.soak_bed import BOOKING, LOOKUP, SoakBed, soak_bed
@@ -48,14 +48,14 @@
             crowd = [await bed.connect() for _ in range(CROWD)]
             for _, writer in crowd:
                 writer.write(b"GET /api")  # it may send on, and so keeps its place for a while
-            await asyncio.sleep(STALLED / 10)
+            await asyncio.sleep(STALLED_AFTER / 10)
             reader, writer = await bed.connect()
             written = time.monotonic()
             writer.write(bed.text("late", budget=BUDGET))
             async with asyncio.timeout(SOON):
                 first, _, _ = await read_message(reader)
             assert first.split()[1] == "200"
-            check_time_told(bed, "late", written, STALLED / 2)
+            check_time_told(bed, "late", written, STALLED_AFTER / 2)
             for _, writer in crowd:
                 writer.close()
 
@@ -68,7 +68,7 @@
         async with soak_bed(tmp_path, 4) as bed:
             set_work(bed, WAITS)
             reader, writer = await bed.connect()
-            first = [f"first-{number}" for number in range(MOST_PIPELINED + 1)]
+            first = [f"first-{number}" for number in range(MAX_PIPELINED + 1)]
             writer.write(b"".join(bed.text(call_id) for call_id in first))
             await asyncio.sleep(WAITS / 4)
             set_work(bed, 0.01)
--- a/tests/test_incident_system_calls.py
+++ b/tests/test_incident_system_calls.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from embersill.net.clients import ACCEPT_AGAIN, ACCEPT_FAILURES
+from embersill.net.clients import ACCEPT_RETRY_INTERVAL, MAX_ACCEPT_FAILURES
 from tests.bed import Bed, request, roomy_settings, run, running, with_bed
 
 
@@ -66,7 +66,7 @@
             assert (await client.ask(request(number)))[0] == 200
             await asyncio.sleep(0.005)
         passed = time.monotonic() - began
-        assert 0 < failing.tries <= ACCEPT_FAILURES * (passed / ACCEPT_AGAIN + 2)
+        assert 0 < failing.tries <= MAX_ACCEPT_FAILURES * (passed / ACCEPT_RETRY_INTERVAL + 2)
         failing.left = 0
         assert (await waiting.answer())[0] == 200  # what has waited meanwhile is served
 
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -19,7 +19,7 @@
     PoolSettings, Refuse, RepeatPolicy, Request, RequestClass, Restore, Send, SetTimer, Settings,
     SettingsChanged, StreamStarted, Suspend, TimerExpired,
 )
-from embersill.net.clients import CallReader
+from embersill.net.clients import RequestReader
 from embersill.net.counter import read_reply
 from embersill.net.listing import read_listing
 from embersill.net.driver import Call
@@ -456,7 +456,7 @@
 
 def read_call(told: Settings = SETTINGS, client: str = "00000000000000c1", **changes: str) -> Call:
     target = f"/api?client={client}".encode()
-    return CallReader(told).read(START, b"GET", target, call_headers(**changes), b"")
+    return RequestReader(told).read(START, b"GET", target, call_headers(**changes), b"")
 
 
 @pytest.mark.parametrize(("text", "value"), [
@@ -486,7 +486,7 @@
 def test_one_customer_in_all_forms_of_a_query_parameter(client: str) -> None:
     assert read_call(client=client).customer == "00000001abcdef12"
     target = f"/api?zone=b&client={client}&x=1".encode()
-    call = CallReader(SETTINGS).read(START, b"GET", target, call_headers(), b"")
+    call = RequestReader(SETTINGS).read(START, b"GET", target, call_headers(), b"")
     assert call.customer == "00000001abcdef12" and target in call.head
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -20,7 +20,7 @@
 
 from embersill.__main__ import LAST_READ, STILL_COMING
 from embersill.lab.peers import HOST, Asked, free_port
-from embersill.net.clients import SETTLED
+from embersill.net.clients import EVICTABLE_AFTER
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import SOON, DiscoveryPeer, serve
 
@@ -304,8 +304,8 @@
         async with running() as bed:
             program, client = bed.program, await bed.client()
             assert (await client.ask(request(1)))[0] == 200
-            await asyncio.sleep(2 * SETTLED)
-            close, crossed = program.front.close_unasked, False
+            await asyncio.sleep(2 * EVICTABLE_AFTER)
+            close, crossed = program.front.close_idle_without_unread, False
 
             def crossing() -> bool:
                 nonlocal crossed
@@ -314,7 +314,7 @@
                     os.write(client.writer.get_extra_info("socket").fileno(), request(2))
                 return close()
 
-            program.front.close_unasked = crossing  # type: ignore[method-assign]
+            program.front.close_idle_without_unread = crossing  # type: ignore[method-assign]
             program.duck.set(60.0)
             program.heard_last.set()
             await program.stop()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -10,7 +10,7 @@
 from embersill.interface import Outcome
 from embersill.lab.peers import Asked, message
 from embersill.net.backends import Answer, Attempt, BackendConnection, Dialer
-from embersill.net.bodies import ended_unread
+from embersill.net.bodies import closed_by_peer
 from embersill.net.pool import Address, Pool
 from tests.bed import Bed, request, roomy_settings, run, running
 from tests.peers import SOON
@@ -169,7 +169,7 @@
                     writer.write(text)
                 else:
                     sock = first[0].get_extra_info("socket")
-                    ended.append(sock is None or bool(ended_unread([sock.fileno()])))
+                    ended.append(sock is None or bool(closed_by_peer([sock.fileno()])))
                     writer.write(message(200, b"served"))
 
             for backend in bed.backends:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 
 from embersill.__main__ import BEFORE_KILL, KILL_AFTER, LONGEST_COUNTED, Program
 from embersill.lab.peers import Asked
-from embersill.net.clients import ACCEPTS, SETTLED
+from embersill.net.clients import ACCEPT_BATCH, EVICTABLE_AFTER
 from embersill.net.driver import LEAST_LEFT
 from tests.bed import READY, Bed, before, request, roomy_settings, with_bed
 from tests.peers import SOON
@@ -37,7 +37,7 @@
 def test_a_request_read_after_the_last_moment_is_refused_and_not_sent_on(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.net.clients.SETTLED", 60.0)  # it is not closed as an idle one
+    monkeypatch.setattr("embersill.net.clients.EVICTABLE_AFTER", 60.0)  # it is not closed as an idle one
 
     async def test(bed: Bed) -> None:
         client = await bed.client()
@@ -122,7 +122,7 @@
     async def test(bed: Bed) -> None:
         front = bed.program.front
         front.pause_accepting()
-        clients = [await bed.client() for _ in range(3 * ACCEPTS)]
+        clients = [await bed.client() for _ in range(3 * ACCEPT_BATCH)]
         for client in clients:
             client.put(READY)
         await front.stop_listening()
@@ -138,8 +138,8 @@
     async def test(bed: Bed) -> None:
         client = await bed.client()
         assert (await client.ask(request(1)))[0] == 200
-        await asyncio.sleep(2 * SETTLED)
-        before(monkeypatch, bed.program.front, "close_unasked", lambda: client.put(request(2)))
+        await asyncio.sleep(2 * EVICTABLE_AFTER)
+        before(monkeypatch, bed.program.front, "close_idle_without_unread", lambda: client.put(request(2)))
         await bed.program.stop(0.0, 2.0)
         status, headers, _ = await client.answer()
         assert status == 200 and headers["connection"] == "close" and len(bed.seen()) == 2
