--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -1,4 +1,4 @@
-"""The HTTP server side: accepts clients, reads their requests, and writes each its answer in order."""
+"""The HTTP server: accepts client connections, parses their requests, and writes the answers in order."""
 
 from __future__ import annotations
 
@@ -28,39 +28,43 @@
 from embersill.net.hold_ups import CHECK_INTERVAL, LoopStalls
 from embersill.net.tcp_info import seconds_since_data
 
-MAX_HEAD = 32 * 1024  # bytes of request line and headers: a generous browser sends a quarter of it
-MAX_PIPELINED = 16  # requests under way on one connection: further ones stay unread
-PARSE_CHUNK = 8192  # bytes given to the parser at a time: so many small requests at most go past that bound
-EVICTABLE_AFTER = 0.1  # seconds unused from which a connection may make way: its next request may be here unread
-STALLED_AFTER = 0.5  # seconds without a byte from which a half-sent request may lose its place to another client
-REQUEST_TIMEOUT = 2.5  # seconds for a head, the first from the connect on: clients take 2, the terms give peers 3
-MIN_BODY_RATE = 16 * 1024  # bytes a second that a body must bring on top of that: clients send four times as fast
-DISCONNECT_CHECK_INTERVAL = 0.04  # seconds between looks for ends of connections that are not read: an attempt that
-# begins 0.1 s after its client went breaks the rule
-WRITE_TIMEOUT = 10.0  # seconds for which a client may read nothing of its answers: longer than any of its budgets
-SEND_BUFFER = 128 * 1024  # bytes the kernel may hold for a client: more would hide how slowly it reads
-LINGER = 1.0  # seconds for a peer to read an error answer before its connection goes
+MAX_HEAD = 32 * 1024  # bytes of request line and headers: browsers send at most about a quarter of it
+MAX_PIPELINED = 16  # requests in progress on one connection; further ones are not parsed
+PARSE_CHUNK = 8192  # bytes given to the parser at a time: limits the requests parsed beyond MAX_PIPELINED
+EVICTABLE_AFTER = 0.1  # seconds idle before eviction: the next request may already be in the kernel's buffer
+STALLED_AFTER = 0.5  # seconds without a byte before a partly sent request may be evicted for another client
+# Seconds for a request head, for the first one from the connect on. Clients take up to 2 s; the protocol
+# allows peers 3 s.
+REQUEST_TIMEOUT = 2.5
+MIN_BODY_RATE = 16 * 1024  # bytes/s that extend REQUEST_TIMEOUT: clients send bodies four times as fast
+# Seconds between checks for disconnects on connections that are not being read: no attempt may start 0.1 s or
+# more after its client disconnected.
+DISCONNECT_CHECK_INTERVAL = 0.04
+WRITE_TIMEOUT = 10.0  # seconds that a client may leave its answers unread: longer than any request's budget
+SEND_BUFFER = 128 * 1024  # bytes of the kernel's send buffer: a larger one would hide slow readers
+LINGER = 1.0  # seconds for the peer to read the last answer before its connection is closed
 BACKLOG = 1024
-ACCEPT_RETRY_INTERVAL = 0.02  # seconds until the next try where a connection could not be accepted
-MAX_ACCEPT_FAILURES = 8  # in a row, from which it waits: fewer may be as many clients that have gone
-# what accept fails with where one connection has ended before it was accepted (accept(2))
+ACCEPT_RETRY_INTERVAL = 0.02  # seconds until accept is called again after it failed or there was no capacity
+MAX_ACCEPT_FAILURES = 8  # consecutive; with fewer, each may be a client that closed before it was accepted
+# Errors of accept(2) that concern only one connection, which ended before it was accepted.
 CONNECTION_ERRORS = frozenset((
     errno.ECONNABORTED, errno.EPROTO, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH,
     errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT, errno.ECONNRESET, errno.EPERM))
-BACKLOG_DRAIN_TIMEOUT = 0.2  # seconds for all that waits to be accepted where no more will be: a full backlog, with room
-MAX_EVICTED = 16  # peers that make way at one go: a flood comes faster than one at a time
-HANDOVER_RETRY_INTERVAL = 0.005  # seconds until the next try to hand a connection over: its last answer is still going out
-ACCEPT_BATCH = 64  # connections taken in at one go, so that those at hand get their turn
+BACKLOG_DRAIN_TIMEOUT = 0.2  # seconds to accept queued connections at a stop: ample for a full backlog
+MAX_EVICTED = 16  # connections evicted at a time: in a flood, one at a time would not keep up
+HANDOVER_RETRY_INTERVAL = 0.005  # seconds until a hand-over is retried; the last answer is still being written
+ACCEPT_BATCH = 64  # connections accepted per loop iteration, so that established ones are served in between
 
 CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
 CLIENT_PARAMETER = re.compile(rb"[?&]client=([^&]*)")
-CUSTOMER_ID = re.compile(rb"0{7}[01][0-9A-Fa-f]{8}")  # a number below 2^33
-BUDGET = re.compile(rb"\d{1,6}(\.\d{1,30})?")  # a float in full has up to 17 decimals
+CUSTOMER_ID = re.compile(rb"0{7}[01][0-9A-Fa-f]{8}")  # 64-bit hexadecimal, below 2^33
+BUDGET = re.compile(rb"\d{1,6}(\.\d{1,30})?")  # seconds; a float printed in full has up to 17 decimals
 IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,256}")
 QUOTA_FIELDS = (b"units", b"spread", b"first")
 QUOTA_FIELD = re.compile(rb"\s*([a-z_]+)\s*=\s*(\d{1,9}(?:\.\d{1,9})?)\s*")
-SINGLE_HEADERS = frozenset((b"x-call-id", b"x-call-class", b"plan", b"x-budget", b"idempotency-key", b"quota-info",
-                    b"x-again", b"content-length", b"host", b"transfer-encoding", b"expect"))
+SINGLE_HEADERS = frozenset((
+    b"x-call-id", b"x-call-class", b"plan", b"x-budget", b"idempotency-key", b"quota-info", b"x-again",
+    b"content-length", b"host", b"transfer-encoding", b"expect"))
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
     413: b"Content Too Large", 417: b"Expectation Failed", 429: b"Too Many Requests",
@@ -75,7 +79,7 @@
 
 
 class BadRequest(Exception):
-    """What a client sent is not in the protocol's form."""
+    """A client's request is malformed or not allowed; carries the error answer's status, text and headers."""
 
     def __init__(self, status: int, text: str, headers: bytes = b"") -> None:
         super().__init__(text)
@@ -84,118 +88,132 @@
 
 @lru_cache(maxsize=4096)
 def parse_quota_info(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of a Quota-Info; kept, since few different ones come again and again."""
-    found: dict[bytes, float] = {}
-    for part in text.split(b","):
-        if part.partition(b"=")[0].strip() not in QUOTA_FIELDS:
-            continue  # what else it tells is for others
-        match = QUOTA_FIELD.fullmatch(part)
-        if match is None or match[1] in found:
+    """The units, spread and first of a Quota-Info header; raises BadRequest if it is malformed.
+
+    Cached, since clients send few different values.
+    """
+    values: dict[bytes, float] = {}
+    for field in text.split(b","):
+        if field.partition(b"=")[0].strip() not in QUOTA_FIELDS:
+            continue  # unknown fields are ignored
+        match = QUOTA_FIELD.fullmatch(field)
+        if match is None or match[1] in values:
             raise BadRequest(400, "Quota-Info is not in its form")
-        found[match[1]] = float(match[2])
+        values[match[1]] = float(match[2])
     try:
-        units, width, first = found[b"units"], found[b"spread"], found[b"first"]
+        units, gateway_count, first = values[b"units"], values[b"spread"], values[b"first"]
     except KeyError as error:
         raise BadRequest(400, "Quota-Info lacks units, spread or first") from error
-    if units <= 0 or width < 1 or not (width.is_integer() and first.is_integer()):
+    if units <= 0 or gateway_count < 1 or not (gateway_count.is_integer() and first.is_integer()):
         raise BadRequest(400, "Quota-Info has no units or no whole gateways")
-    return units, int(width), int(first)
+    return units, int(gateway_count), int(first)
 
 
 def header_encodings(name: str) -> list[bytes]:
-    """The bytes by which a header may tell a name of the settings: UTF-8, or Latin-1 where it can."""
-    latin = name.encode("latin-1", "replace")
-    return [name.encode(), latin] if latin.decode("latin-1") == name else [name.encode()]
+    """The encodings in which a header may carry a name from the settings: UTF-8, and Latin-1 if possible."""
+    latin_1 = name.encode("latin-1", "replace")
+    return [name.encode(), latin_1] if latin_1.decode("latin-1") == name else [name.encode()]
 
 
 class RequestReader:
-    """Turns requests into calls by the settings' classes and plans, and words what is wrong with the rest."""
+    """Validates parsed requests against the settings' classes and plans, and builds the driver's calls.
+
+    Methods raise BadRequest for what a request lacks or has wrong.
+    """
 
     def __init__(self, settings: Settings) -> None:
-        self.classes = {form: c for c in settings.classes for form in header_encodings(c.name)}
-        self.plans = {form: p.name for p in settings.plans for form in header_encodings(p.name)}
+        self.classes = {encoded: c for c in settings.classes for encoded in header_encodings(c.name)}
+        self.plans = {encoded: p.name for p in settings.plans for encoded in header_encodings(p.name)}
         self.gateways, self.max_units = settings.gateways, settings.max_units
 
     def read(self, received: float, method: bytes, target: bytes, headers: dict[bytes, bytes],
              body: bytes, upload: Upload | None = None) -> Call:
         customer = self.customer(target)
-        klass = self.classes.get(self.required(headers, b"x-call-class"))
-        if klass is None:
+        request_class = self.classes.get(self.required(headers, b"x-call-class"))
+        if request_class is None:
             raise BadRequest(400, "X-Call-Class names no class")
-        wanted = b"GET" if klass.repeat_policy is RepeatPolicy.SAFE else b"POST"
-        if method != wanted:
-            raise BadRequest(405, "the class goes by another method", b"Allow: %b\r\n" % wanted)
+        expected_method = b"GET" if request_class.repeat_policy is RepeatPolicy.SAFE else b"POST"
+        if method != expected_method:
+            raise BadRequest(405, "the class goes by another method", b"Allow: %b\r\n" % expected_method)
         plan = self.plans.get(self.required(headers, b"plan"))
         if plan is None:
             raise BadRequest(400, "Plan names no plan")
         if (body or upload is not None) and method == b"GET":
             raise BadRequest(400, "a GET with a body")
-        units, width, first = parse_quota_info(self.required(headers, b"quota-info"))
-        if width > self.gateways or first >= self.gateways or units > self.max_units:
+        units, gateway_count, first = parse_quota_info(self.required(headers, b"quota-info"))
+        if gateway_count > self.gateways or first >= self.gateways or units > self.max_units:
             raise BadRequest(400, "Quota-Info has more units or gateways than there are")
         return Call(
-            received=received, budget=float(self.required_match(headers, b"x-budget", BUDGET)), klass=klass.name,
-            plan=plan, customer=customer, units=units, width=width,
+            received=received, budget=float(self.required_match(headers, b"x-budget", BUDGET)),
+            klass=request_class.name, plan=plan, customer=customer, units=units, width=gateway_count,
             first_gateway=first, repeat=headers.get(b"x-again") == b"1",
-            head=self.backend_head(method, target, headers, klass.repeat_policy,
-                           upload.framing_header if upload is not None else b"Content-Length: %d" % len(body)),
+            head=self.backend_head(
+                method, target, headers, request_class.repeat_policy,
+                upload.framing_header if upload is not None else b"Content-Length: %d" % len(body)),
             body=body, upload=upload, call_id=headers[b"x-call-id"].decode("ascii"),
         )
 
-    def backend_head(self, method: bytes, target: bytes, headers: dict[bytes, bytes], repeats: RepeatPolicy,
-             framing: bytes) -> bytes:
-        """What goes on to a backend, unchanged; the budget is the gateway's own and comes last."""
+    def backend_head(self, method: bytes, target: bytes, headers: dict[bytes, bytes],
+                     repeat_policy: RepeatPolicy, framing_header: bytes) -> bytes:
+        """The request line and headers for a backend, without the budget, which is added for each attempt."""
         lines = [b"%b %b HTTP/1.1" % (method, target), b"Host: %b" % headers.get(b"host", b"backend.local"),
                  b"X-Call-Id: %b" % self.required_match(headers, b"x-call-id", CALL_ID)]
-        if repeats is RepeatPolicy.BY_KEY:
-            lines.append(b"Idempotency-Key: %b" % self.required_match(headers, b"idempotency-key", IDEMPOTENCY_KEY))
+        if repeat_policy is RepeatPolicy.BY_KEY:
+            lines.append(b"Idempotency-Key: %b" % self.required_match(
+                headers, b"idempotency-key", IDEMPOTENCY_KEY))
         elif b"idempotency-key" in headers:
             raise BadRequest(400, "Idempotency-Key on a class that carries none")
         if method != b"GET":
-            lines.append(framing)
+            lines.append(framing_header)
             if b"content-type" in headers:
                 lines.append(b"Content-Type: %b" % headers[b"content-type"])
         return b"\r\n".join((*lines, b""))
 
     def customer(self, target: bytes) -> str:
-        found: list[bytes] = CLIENT_PARAMETER.findall(target)
-        customer = unquote_to_bytes(found[0]) if len(found) == 1 else b""
+        """The customer's id in the target's `client` parameter, in lower case."""
+        values: list[bytes] = CLIENT_PARAMETER.findall(target)
+        customer = unquote_to_bytes(values[0]) if len(values) == 1 else b""
         if not CUSTOMER_ID.fullmatch(customer):
             raise BadRequest(400, "client is not 16 hex digits below 2^33")
         return customer.decode().lower()
 
     def required(self, headers: dict[bytes, bytes], name: bytes) -> bytes:
+        """The value of a header that must be present and not empty."""
         value = headers.get(name)
         if not value:
             raise BadRequest(400, f"no {name.decode().title()}")
         return value
 
-    def required_match(self, headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> bytes:
+    def required_match(self, headers: dict[bytes, bytes], name: bytes, pattern: re.Pattern[bytes]) -> bytes:
+        """The value of a required header, all of which must match the pattern."""
         value = self.required(headers, name)
-        if not form.fullmatch(value):
+        if not pattern.fullmatch(value):
             raise BadRequest(400, f"{name.decode().title()} is not in its form")
         return value
 
 
 class Exchange:
-    """One request on a connection and its answer, which goes out when those before it have gone.
+    """One request on a connection and its answer, which is written after the answers to earlier requests.
 
-    An answer that is passed on as it comes is begun, written and finished, or broken off.
+    A streamed answer takes begin(), write() for each part, and finish() or abort(); a complete one takes
+    answer() alone.
     """
 
     __slots__ = (
-        "streaming", "aborted", "chunked", "connection", "done", "keep_alive", "number", "chunks", "on_writable", "response",
+        "streaming", "aborted", "chunked", "connection", "done", "keep_alive", "number", "chunks",
+        "on_writable", "response",
     )
 
-    def __init__(self, connection: ClientConnection, keep: bool) -> None:
-        self.connection, self.keep_alive = connection, keep
-        self.number = 0  # the driver's name for it, if it was taken
-        self.response: bytes | None = None
-        self.chunks: list[bytes] = []  # of the answer, that wait for those before it
+    def __init__(self, connection: ClientConnection, keep_alive: bool) -> None:
+        self.connection, self.keep_alive = connection, keep_alive
+        self.number = 0  # the driver's number of the request; 0 until the driver accepts it
+        self.response: bytes | None = None  # the complete answer, if it is not streamed
+        self.chunks: list[bytes] = []  # of a streamed answer, not yet written to the transport
         self.streaming = self.done = self.aborted = self.chunked = False
         self.on_writable: Callable[[], None] | None = None
 
     def begin(self, headers: bytes, length: int | None) -> Exchange:
+        """Starts a streamed answer with status 200; `length` is None where the body's size is not known."""
         connection = self.connection
         self.streaming, self.chunked = True, length is None and connection.is_http_1_1
         framing = b"Content-Length: %d\r\n" % length if length is not None else b""
@@ -207,7 +225,7 @@
         return self
 
     def write(self, data: bytes) -> bool:
-        """Passes it on, or keeps it while an earlier answer is due; False where more would have to wait."""
+        """Writes a part of the body, or buffers it behind earlier answers; False if it would buffer more."""
         if data:
             self.chunks.append(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
         self.connection.flush()
@@ -215,98 +233,111 @@
         return bool(exchanges) and exchanges[0] is self and not self.connection.write_blocked
 
     def client_has_gone(self) -> bool:
-        """Asks the kernel: the loop tells of an end only after what it had to tell before."""
-        ended = self.connection.is_disconnected()
-        if ended:
+        """True if the client has disconnected; asks the kernel, as the loop may not have reported it yet."""
+        disconnected = self.connection.is_disconnected()
+        if disconnected:
             self.connection.abort_disconnected()
-        return ended
+        return disconnected
 
     def finish(self) -> None:
+        """Ends a streamed answer after its last part."""
         if self.chunked:
             self.chunks.append(b"0\r\n\r\n")
         self.done = True
         self.connection.flush()
 
     def abort(self) -> None:
+        """Ends a streamed answer that is incomplete: the connection is reset, so that the client can tell."""
         self.aborted = True
         self.connection.flush()
 
     def answer(self, status: int, body: bytes, headers: bytes = b"") -> None:
+        """Sends a complete answer, unless the request already has one."""
         if self.response is not None:
             return
-        self.keep_alive = self.keep_alive and not (self.connection.close_after_if_stopping(self) or self.connection.is_uploading(self))
+        self.keep_alive = self.keep_alive and not (
+            self.connection.close_after_if_stopping(self) or self.connection.is_uploading(self))
         self.response = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
-            status, REASON_PHRASES[status], headers, b"" if self.keep_alive else b"Connection: close\r\n", len(body), body)
+            status, REASON_PHRASES[status], headers, b"" if self.keep_alive else b"Connection: close\r\n",
+            len(body), body)
         self.connection.flush()
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionHistory:
-    """What came on a connection at the process that gave it away, or nothing yet."""
+    """What a connection has received at the process that hands it over to its successor.
 
-    asked: bool = False  # a whole request
-    served: bool = False  # one for a backend
-    awaited_for: float = 0.0  # seconds that the first request has been awaited: its client gets no more time
+    The field names are keys of the hand-over message.
+    """
+
+    asked: bool = False  # a complete request was received
+    served: bool = False  # one of the requests was for a backend
+    awaited_for: float = 0.0  # seconds spent waiting for the first request; its timeout is not restarted
 
 
 NO_HISTORY = ConnectionHistory()
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One client connection: requests in, answers out in the same order."""
+    """One client connection: reads requests and writes the answers in the same order.
+
+    Requests may be pipelined. Reading stops while MAX_PIPELINED of them are in progress, while a streamed
+    body waits for its backend, and while the client does not read its answers.
+    """
 
-    def __init__(self, front: ClientServer, sock: socket.socket, before: ConnectionHistory) -> None:
-        self.server, self.socket = front, sock
+    def __init__(self, server: ClientServer, sock: socket.socket, history: ConnectionHistory) -> None:
+        self.server, self.socket = server, sock
         self.transport: asyncio.Transport | None = None
         self.exchanges: deque[Exchange] = deque()
         self.parser = httptools.HttpRequestParser(self)
-        self.idle_since = front.clock()
-        self.awaiting_since = self.idle_since - before.awaited_for  # since when a whole request is
-        self.has_received_request = before.asked  # a whole request came
-        self.has_backend_request = before.served  # and one of them was for a backend
-        self.handing_over = False  # it goes to the successor as soon as its last answer is out
+        self.idle_since = server.clock()
+        self.awaiting_since = self.idle_since - history.awaited_for  # for a complete request
+        self.has_received_request = history.asked
+        self.has_backend_request = history.served
+        self.handing_over = False  # goes to the successor once its last answer is written
         self.last_read_at = self.write_blocked_at = self.read_paused_at = 0.0
-        self.arrived_at = 0.0  # when what was read last may have come, at the earliest
+        self.arrived_at = 0.0  # the earliest time at which the bytes read last may have arrived
         self.is_http_1_1: bool = True
         self.unparsed = b""
         self.write_blocked: bool = False
         self.read_paused = self.input_ended = self.closing = self.parsing = False
         self.in_request, self.in_head, self.head_size = False, False, 0
-        self.head_normalizer: HeadNormalizer | None = HeadNormalizer()  # between requests and while a head comes
-        self.body_remaining: int | None = None  # bytes of the body that are still to come, where they are known
-        self.body_tail = b""  # its last bytes so far, which may begin a blank line
-        self.close_reason = ""  # for logs
+        self.head_normalizer: HeadNormalizer | None = HeadNormalizer()  # None while a body is received
+        self.body_remaining: int | None = None  # bytes of the body not yet received; None for a chunked body
+        self.body_tail = b""  # the last bytes received of the body, which may be part of a blank line
+        self.close_reason = ""  # for the trace
         self.reset_request()
 
     def reset_request(self) -> None:
+        """Clears what was parsed of the previous request."""
         self.target, self.body_size, self.trailers_size = b"", 0, 0
-        self.upload: Upload | None = None  # the body, where it is passed on as it comes
+        self.upload: Upload | None = None  # the body, if it is streamed
         self.upload_exchange: Exchange | None = None
         self.headers: dict[bytes, bytes] = {}
         self.framing_fields, self.framing = FramingFields(), Framing()
         self.body: list[bytes] = []
         self.request_error: BadRequest | None = None
-        self.end_unknown = False  # where the request ends, and so what follows it
+        self.end_unknown = False  # where the request ends, and so where the next one starts
 
     def set_close_reason(self, reason: str) -> None:
-        """Notes why the connection ends; the first reason stands."""
+        """Records why the connection is closed; the first reason is kept."""
         self.close_reason = self.close_reason or reason
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's lacks the base class only
         self.transport.set_write_buffer_limits(high=self.server.buffer_limit)
         self.server.connections.add(self)
         if self.server.send_to_successor is not None:
             self.server.loop.call_soon(self.try_hand_over)
 
-    # what the parser tells
+    # callbacks of the parser
 
     def on_message_begin(self) -> None:
         self.reset_request()
         if self.has_received_request:
             self.awaiting_since = self.last_read_at
         self.in_request = self.in_head = True
-        self.head_size = 0  # pieces end in the midst of many heads: each has the whole bound
+        self.head_size = 0  # MAX_HEAD applies to each head by itself
 
     def on_url(self, url: bytes) -> None:
         self.target += url
@@ -314,7 +345,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
         if not self.in_head:
-            self.trailers_size += len(name) + len(value)  # behind a body in chunks: they ask for nothing
+            self.trailers_size += len(name) + len(value)  # trailers of a chunked body are ignored
             return
         if name in SINGLE_HEADERS and name in self.headers:
             self.request_error = BadRequest(400, f"{name.decode()} stands twice")
@@ -338,35 +369,39 @@
             self.request_error = BadRequest(417, "no expectation but 100-continue")
         elif size > STREAMING_THRESHOLD and self.request_error is None:
             self.start_upload(size)
-        waits = not self.exchanges or self.exchanges[0] is self.upload_exchange is not None
-        if b"expect" in self.headers and self.request_error is None and waits and not self.input_ended:
+        is_next = not self.exchanges or self.exchanges[0] is self.upload_exchange is not None
+        if b"expect" in self.headers and self.request_error is None and is_next and not self.input_ended:
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def start_upload(self, length: int | None) -> None:
-        """Takes the request though its body is still coming, which then goes on as it comes."""
+        """Accepts a request whose body is still being received, and streams the body to the backend."""
         upload = Upload(length, self.server.buffer_limit, self.resume_parsing_later)
         try:
             if self.target.partition(b"?")[0] != b"/api":
                 raise BadRequest(404, "no such path")
-            method, front = self.parser.get_method(), self.server
-            call = front.request_reader.read(self.arrived_at, method, self.target, self.headers, b"", upload)
+            method, server = self.parser.get_method(), self.server
+            call = server.request_reader.read(self.arrived_at, method, self.target, self.headers, b"", upload)
         except BadRequest as error:
             self.request_error = error
             return
-        for piece in self.body:
-            upload.feed(piece)
+        for chunk in self.body:
+            upload.feed(chunk)
         self.body, self.has_received_request, self.has_backend_request = [], True, True
         self.upload = upload
         self.upload_exchange = Exchange(self, self.parser.should_keep_alive() and self.is_http_1_1)
         self.exchanges.append(self.upload_exchange)
-        self.upload_exchange.number = front.driver.take(call, self.upload_exchange)
+        self.upload_exchange.number = server.driver.take(call, self.upload_exchange)
 
     def is_uploading(self, exchange: Exchange) -> bool:
+        """True while the streamed body of this exchange is incomplete."""
         return exchange is self.upload_exchange and self.upload is not None and not self.upload.complete
 
     def resume_parsing_later(self) -> None:
-        """The backend has taken some of the body: not from inside the parser, which may have brought it."""
+        """Resumes parsing after the backend accepted part of the body.
+
+        Scheduled, since this may run inside the parser, which must not be re-entered.
+        """
         if self.read_paused or self.unparsed:
             self.server.loop.call_soon(self.resume_parsing)
 
@@ -389,16 +424,16 @@
             return
         self.has_received_request = True
         if self.upload is not None and self.upload_exchange is not None and self.request_error is None:
-            upload, uploader = self.upload, self.upload_exchange
+            upload, exchange = self.upload, self.upload_exchange
             self.upload = self.upload_exchange = None
-            self.input_ended = not uploader.keep_alive
+            self.input_ended = not exchange.keep_alive
             upload.end()
-            self.server.driver.uploaded(uploader.number)
+            self.server.driver.uploaded(exchange.number)
             return
-        keep = self.parser.should_keep_alive() and self.is_http_1_1 and not self.end_unknown
-        exchange = Exchange(self, keep)
+        keep_alive = self.parser.should_keep_alive() and self.is_http_1_1 and not self.end_unknown
+        exchange = Exchange(self, keep_alive)
         self.exchanges.append(exchange)
-        self.input_ended = not keep  # nothing after it is read
+        self.input_ended = not keep_alive
         try:
             if self.request_error is not None:
                 raise self.request_error
@@ -407,18 +442,21 @@
             self.send_error(exchange, error)
 
     def send_error(self, exchange: Exchange, error: BadRequest) -> None:
+        """Answers with the error; the answer to a HEAD request has no body."""
         body = b"" if self.parser.get_method() == b"HEAD" else f"{error}\n".encode()
         exchange.answer(error.status, body, error.headers)
 
     def route(self, exchange: Exchange) -> None:
+        """Dispatches a complete request by its path; raises BadRequest if it cannot be accepted."""
         method, path = self.parser.get_method(), self.target.partition(b"?")[0]
         if path == b"/api":
             if method not in (b"GET", b"POST"):
                 raise BadRequest(405, "only GET and POST", b"Allow: GET, POST\r\n")
-            front = self.server
-            call = front.request_reader.read(self.arrived_at, method, self.target, self.headers, b"".join(self.body))
+            server = self.server
+            call = server.request_reader.read(
+                self.arrived_at, method, self.target, self.headers, b"".join(self.body))
             self.has_backend_request = True
-            exchange.number = front.driver.take(call, exchange)
+            exchange.number = server.driver.take(call, exchange)
         elif path == b"/ready":
             if method != b"GET":
                 raise BadRequest(405, "only GET", b"Allow: GET\r\n")
@@ -426,7 +464,7 @@
         else:
             raise BadRequest(404, "no such path")
 
-    # what the transport tells
+    # callbacks of the transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.server.read_buffer
@@ -436,68 +474,71 @@
 
     def data_received(self, data: bytes) -> None:
         if self.input_ended:
-            return  # the last answer is on its way; what still comes is read only so that it gets there
+            return  # input is still read, since closing with unread data would reset the last answer
         self.last_read_at = self.server.clock()
         self.arrived_at = self.arrival_time()
         self.unparsed = self.unparsed + data if self.unparsed else data
         self.resume_parsing()
 
     def arrival_time(self) -> float:
-        """When what is read now came, from which its client's time runs.
+        """The earliest time at which the bytes read now may have arrived; the request's budget starts then.
 
-        It may have waited unread in the kernel: behind a hold-up of the loop, behind earlier requests, or for
-        its connection to be accepted. The kernel tells the time of the last bytes alone, and those before
-        them may be older, as far as the loop was held up.
+        They may have waited in the kernel's buffer while the loop was stalled, while earlier requests were in
+        progress, or until the connection was accepted. The kernel knows the arrival of the last bytes only;
+        earlier ones may be older, by up to the stall of the loop.
         """
         last_bytes = self.last_read_at - seconds_since_data(self.socket)
         return min(last_bytes, self.server.loop_stalls.earliest_arrival(self.last_read_at))
 
     def resume_parsing(self) -> None:
-        """Parses what has come, as far as the bound on requests under way allows."""
+        """Parses what was received, as far as the limits on requests and body bytes in progress allow."""
         while self.unparsed and not (self.input_ended or self.must_pause_reading()):
-            piece = self.unparsed
-            if len(piece) > PARSE_CHUNK and self.upload is None:
-                piece = piece[:PARSE_CHUNK]
-            self.unparsed = self.unparsed[len(piece):]
-            self.parse(piece)
+            data = self.unparsed
+            if len(data) > PARSE_CHUNK and self.upload is None:
+                data = data[:PARSE_CHUNK]
+            self.unparsed = self.unparsed[len(data):]
+            self.parse(data)
         self.update_reading()
         self.try_hand_over()
 
-    def parse(self, piece: bytes) -> None:
-        self.parsing = True  # an answer given at once must not start the parser again from inside itself
+    def parse(self, data: bytes) -> None:
+        """Parses bytes, and answers a request that is already known to be in error."""
+        self.parsing = True  # an answer sent from a callback must not re-enter the parser
         try:
-            self.feed_parser(piece)
+            self.feed_parser(data)
         except httptools.HttpParserError:
             self.fail_request(400, "not HTTP")
         except httptools.HttpParserUpgrade:
-            self.input_ended = True  # the answer to the request itself has been or will be given
+            self.input_ended = True  # the request itself is answered as any other
         self.parsing = False
-        self.head_size += len(piece) if self.in_head else 0
-        long = self.upload is not None or self.body_size > STREAMING_THRESHOLD
-        long = long or (self.framing.length or 0) > STREAMING_THRESHOLD
-        if self.request_error is not None and self.in_request and not self.in_head and (long or self.end_unknown):
-            self.fail_request(self.request_error.status, str(self.request_error))  # there is no use in reading all of it first
+        self.head_size += len(data) if self.in_head else 0
+        is_large = self.upload is not None or self.body_size > STREAMING_THRESHOLD
+        is_large = is_large or (self.framing.length or 0) > STREAMING_THRESHOLD
+        if self.request_error is not None and self.in_request and not self.in_head and (
+                is_large or self.end_unknown):
+            # Answered now, as the rest of the body need not be read.
+            self.fail_request(self.request_error.status, str(self.request_error))
         elif self.trailers_size > MAX_HEAD:
             self.fail_request(431, "the trailers are over 32 KiB")
         elif self.head_size > MAX_HEAD:
             self.fail_request(431, "the head is over 32 KiB")
 
-    def feed_parser(self, piece: bytes) -> None:
-        """Feeds the parser, each head by itself and in the spelling that it reads.
+    def feed_parser(self, data: bytes) -> None:
+        """Feeds the parser each head separately, in the normalized form.
 
-        Where a body in chunks ends is known to the parser alone, but no such body ends elsewhere than behind
-        a blank line: so a piece of one that may hold its end is cut there.
+        Only the parser knows where a chunked body ends, but such a body always ends with a blank line. So
+        data that may contain the end is split after each blank line.
         """
-        while piece:
+        while data:
             if self.head_normalizer is not None:
-                text, piece = self.head_normalizer.feed(piece)
+                text, data = self.head_normalizer.feed(data)
                 self.parser.feed_data(text)
                 if self.head_normalizer.complete:
                     self.head_normalizer = None if self.in_request else HeadNormalizer()
                     self.body_remaining, self.body_tail = self.framing.length, b""
             else:
-                most = self.body_remaining or blank_line_end(self.body_tail, piece)
-                text, piece = piece[:most], piece[most:]
+                size = self.body_remaining or blank_line_end(self.body_tail, data)
+                text, data = data[:size], data[size:]
                 self.parser.feed_data(text)
                 self.body_tail = (self.body_tail + text)[1 - len(HEAD_END):]
                 self.body_remaining = None if self.body_remaining is None else self.body_remaining - len(text)
@@ -505,7 +546,7 @@
                     self.head_normalizer = HeadNormalizer()
 
     def fail_request(self, status: int, text: str) -> None:
-        """Answers a request that can't be read to its end; what follows it can't be read either."""
+        """Answers a request that cannot be read to its end; nothing after it is read."""
         if self.input_ended:
             return
         self.input_ended = True
@@ -515,12 +556,12 @@
             exchange = Exchange(self, False)
             self.exchanges.append(exchange)
         elif exchange.number and exchange.response is None:
-            self.server.driver.client_left(exchange.number)  # it never came whole
+            self.server.driver.client_left(exchange.number)  # its body is incomplete
         exchange.keep_alive = False
         exchange.answer(status, f"{text}\n".encode())
 
     def check_timeouts(self, now: float) -> None:
-        """Ends the wait for requests that do not come whole, or at all, and for clients that never read."""
+        """Closes the connection if its client sends no complete request, or reads nothing, for too long."""
         if self.write_blocked and now - self.write_blocked_at > WRITE_TIMEOUT and self.transport is not None:
             self.set_close_reason("the client reads nothing")
             return self.transport.abort()
@@ -537,32 +578,33 @@
         return None
 
     def history(self) -> ConnectionHistory:
-        """What a successor has to know of it."""
+        """What a successor has to know about this connection."""
         awaited_for = 0.0 if self.has_received_request else self.server.clock() - self.awaiting_since
         return ConnectionHistory(self.has_received_request, self.has_backend_request, awaited_for)
 
     def must_pause_reading(self) -> bool:
+        """True while an upload's buffer, the client's unread answers or the pipeline are at their limit."""
         if self.upload is not None and self.upload.full:
             return True
         return self.write_blocked or len(self.exchanges) >= MAX_PIPELINED
 
     def update_reading(self) -> None:
-        """Stops reading while enough is under way: a client that only sends can't fill the memory."""
-        full = self.must_pause_reading() or bool(self.unparsed) or self.handing_over
-        if self.transport is None or full == self.read_paused or self.input_ended:
+        """Pauses or resumes reading, so that a client cannot fill the memory with requests."""
+        pause = self.must_pause_reading() or bool(self.unparsed) or self.handing_over
+        if self.transport is None or pause == self.read_paused or self.input_ended:
             return
-        self.read_paused, now = full, self.server.clock()
-        if full:
+        self.read_paused, now = pause, self.server.clock()
+        if pause:
             self.read_paused_at = now
             self.transport.pause_reading()
             self.server.watch_for_disconnect(self)
         else:
-            self.awaiting_since += now - self.read_paused_at  # it could not send what was not read
+            self.awaiting_since += now - self.read_paused_at  # the pause does not count towards the timeout
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
         self.write_blocked_at = self.server.clock()
-        self.write_blocked = True  # the client does not read its answers: it gets no further ones
+        self.write_blocked = True  # no further requests are parsed while the client does not read
         self.update_reading()
 
     def resume_writing(self) -> None:
@@ -571,7 +613,7 @@
         self.resume_parsing()
 
     def flush(self) -> None:
-        """Writes the answers that are due, up to the first request that has none yet."""
+        """Writes answers in the order of their requests, up to the first request without one."""
         if self.transport is None:
             return
         while self.exchanges:
@@ -597,11 +639,11 @@
         return self.try_hand_over()
 
     def write_chunks(self, exchange: Exchange) -> None:
-        """Writes what has come of an answer; one that broke off is told from a whole one by a reset."""
+        """Writes what is buffered of a streamed answer; resets the connection if the answer was aborted."""
         assert self.transport is not None
         if exchange.chunks:
-            pieces, exchange.chunks = exchange.chunks, []
-            self.transport.write(b"".join(pieces))
+            chunks, exchange.chunks = exchange.chunks, []
+            self.transport.write(b"".join(chunks))
         if exchange.aborted:
             self.set_close_reason("the answer broke off")
             self.exchanges.clear()
@@ -611,13 +653,17 @@
             exchange.on_writable()
 
     def reset(self) -> None:
+        """Closes with a TCP reset."""
         if self.transport is not None:
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.transport.abort()
 
     def try_hand_over(self) -> None:
-        """Goes to the successor between two requests; what comes meanwhile stays in the kernel for it."""
+        """Hands the connection over to the successor, if there is one and no request is in progress.
+
+        Reading stops first: later requests stay in the kernel's buffer for the successor.
+        """
         if self.server.send_to_successor is None or self.transport is None or self.transport.is_closing():
             return
         if self.exchanges or self.input_ended or self.unparsed or self.in_request or self.parsing:
@@ -627,17 +673,21 @@
         if self.is_write_buffer_empty() and self.server.send_to_successor(self):
             self.input_ended = self.closing = True
             self.set_close_reason("given to the successor")
-            self.transport.abort()  # the successor's descriptor keeps the connection up
+            self.transport.abort()  # the successor's descriptor keeps the connection open
         else:
             self.server.loop.call_later(HANDOVER_RETRY_INTERVAL, self.try_hand_over)
 
     def cancel_hand_over(self) -> None:
+        """Resumes reading where the successor has gone before the connection was handed over."""
         if self.handing_over:
             self.handing_over = False
             self.update_reading()
 
     def close_gracefully(self) -> None:
-        """Closes after the last answer; the peer may have more on its way, which must not cut it off."""
+        """Closes after the last answer.
+
+        Data that the peer still sends is read and dropped for LINGER, as a reset could discard the answer.
+        """
         self.input_ended = self.closing = True
         self.set_close_reason("after its last answer")
         self.idle_since = self.server.clock()
@@ -650,19 +700,19 @@
             asyncio.get_running_loop().call_later(LINGER, self.transport.close)
 
     def close_now(self, reason: str) -> None:
-        """Closes at once what has no request under way."""
+        """Closes at once a connection with no request in progress."""
         self.input_ended = self.closing = True
         self.set_close_reason(reason)
         if self.transport is not None:
             self.transport.close()
 
     def eof_received(self) -> bool:
-        """The client has gone: whether it only half-closed can't be told, and the protocol knows no such."""
+        """Treats the end of input as a disconnect: the protocol has no half-closed connections."""
         self.on_client_disconnected()
         return False
 
     def on_client_disconnected(self) -> None:
-        """Nothing more is begun for it: its requests end, wherever they wait."""
+        """Ends all requests of the connection that have no complete answer yet."""
         self.input_ended = True
         self.set_close_reason("the client has gone")
         exchanges, self.exchanges = self.exchanges, deque()
@@ -671,7 +721,7 @@
                 self.server.driver.client_left(exchange.number)
 
     def abort_disconnected(self) -> None:
-        """Its end has come behind bytes that are not read for now."""
+        """Closes a connection whose client disconnected while reading was paused."""
         if self.exchanges and self.transport is not None:
             self.on_client_disconnected()
             if not self.transport.is_closing():
@@ -688,9 +738,10 @@
         self.on_client_disconnected()
 
     def close_after_if_stopping(self, exchange: Exchange) -> bool:
-        """While the gateway stops: True for the last that was taken here, which is to say so in its answer.
+        """While the gateway stops, ends the input after the last accepted request; True if this is it.
 
-        Said any earlier, it would leave those that were sent behind it without theirs.
+        Its answer then carries `Connection: close`. An earlier answer must not, as the client would then drop
+        the answers to the requests that it sent after that one.
         """
         if not self.server.stopping or self.server.send_to_successor is not None:
             return False
@@ -700,11 +751,11 @@
         return True
 
     def is_write_buffer_empty(self) -> bool:
-        """True once the kernel has all that was written here."""
+        """True once the kernel has accepted everything that was written here."""
         return self.transport is None or self.transport.get_write_buffer_size() == 0
 
     def is_idle(self) -> bool:
-        """True if closing it loses nothing: no request was taken here, nor is one on its way."""
+        """True if closing loses nothing: no request was accepted, and none is likely to be on its way."""
         if self.exchanges or self.closing or self.unparsed:
             return False
         now = self.server.clock()
@@ -713,69 +764,75 @@
         return now - self.idle_since > EVICTABLE_AFTER
 
     def descriptor(self) -> int:
+        """The file descriptor of the open connection."""
         assert self.transport is not None
         return int(self.transport.get_extra_info("socket").fileno())
 
     def has_unread_data(self) -> bool:
-        """True where something waits in the kernel, perhaps a request that closing would cross."""
+        """True if the kernel holds unread data, which may be a request that closing would lose."""
         return self.transport is not None and is_readable(self.transport.get_extra_info("socket"))
 
     def is_disconnected(self) -> bool:
-        """True where the client has closed or reset its connection, also behind bytes that wait unread."""
+        """True if the client has closed or reset the connection, even if it left unread data."""
         return self.transport is None or self.transport.is_closing() or bool(
             closed_by_peer((self.descriptor(),)))
 
     def can_be_evicted(self) -> bool:
-        """True also for one that had its last answer and lingers only for its peer to read that."""
+        """True for an idle connection, and for one that only lingers after its last answer."""
         if self.closing:
             return self.transport is not None and self.server.clock() - self.idle_since > EVICTABLE_AFTER
         return self.is_idle()
 
 
 class ClientServer:
-    """The listening socket and its connections.
+    """The listening socket and the client connections.
 
-    Connections are accepted here and not by the loop's own server: where no descriptor is left that one
-    would close them, and a request that was written to one of them would be lost.
+    Accepts connections itself: the loop's own server would close them where no file descriptor is left, and
+    lose requests that were already written to them.
     """
 
-    def __init__(self, driver: Driver, settings: Settings, clock: Callable[[], float], most: int,
-                 is_ready: Callable[[], bool], share: int = STREAMING_THRESHOLD) -> None:
-        self.buffer_limit = share  # bytes that may wait for a peer, each way of each connection
-        self.read_buffer = memoryview(bytearray(READ_SIZE))  # what is read is copied out before anything else is
-        self.driver, self.clock, self.max_connections = driver, clock, most
+    def __init__(self, driver: Driver, settings: Settings, clock: Callable[[], float], max_connections: int,
+                 is_serving: Callable[[], bool], buffer_limit: int = STREAMING_THRESHOLD) -> None:
+        self.buffer_limit = buffer_limit  # bytes buffered per connection and direction
+        self.read_buffer = memoryview(bytearray(READ_SIZE))  # shared: data is copied out before the next read
+        self.driver, self.clock, self.max_connections = driver, clock, max_connections
         self.request_reader = RequestReader(settings)
-        self.is_serving = is_ready
+        self.is_serving = is_serving
         self.connections: set[ClientConnection] = set()
         self.setting_up: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
         self.listener: socket.socket | None = None
         self.accept_retry: asyncio.Handle | None = None
         self.stopping = False
-        self.lame_duck = False  # a lame duck: serves all that comes, and says that it is not ready
-        self.send_to_successor: Callable[[ClientConnection], bool] | None = None  # gives a connection to it
-        self.held_by_predecessor = 0  # connections of the process before, which count under the same bound
+        self.lame_duck = False  # serves all requests, but answers /ready with 503
+        # Hands a connection over to the successor, if there is one; returns False if it could not be sent.
+        self.send_to_successor: Callable[[ClientConnection], bool] | None = None
+        self.held_by_predecessor = 0  # connections of the predecessor, which count towards max_connections
         self.check_timer = self.loop.call_later(CHECK_INTERVAL, self.check_connections)
         self.loop_stalls = LoopStalls(clock())
-        self.read_paused: set[ClientConnection] = set()  # not read for now: their ends are looked for
+        self.read_paused: set[ClientConnection] = set()  # connections to check for disconnects
         self.disconnect_check_timer: asyncio.TimerHandle | None = None
 
     def watch_for_disconnect(self, connection: ClientConnection) -> None:
+        """Checks a connection for its client's disconnect for as long as its reading is paused."""
         self.read_paused.add(connection)
         if self.disconnect_check_timer is None:
-            self.disconnect_check_timer = self.loop.call_later(DISCONNECT_CHECK_INTERVAL, self.check_disconnects)
+            self.disconnect_check_timer = self.loop.call_later(
+                DISCONNECT_CHECK_INTERVAL, self.check_disconnects)
 
     def check_disconnects(self) -> None:
-        """The loop tells nothing of a connection that is not read: the kernel is asked, for these alone."""
+        """Asks the kernel which paused connections are closed, as the loop does not report those."""
         self.disconnect_check_timer = None
         self.read_paused = {c for c in self.read_paused if c.read_paused and c.transport is not None}
         by_descriptor = {c.descriptor(): c for c in self.read_paused if c.exchanges}
         for descriptor in closed_by_peer(by_descriptor):
             by_descriptor[descriptor].abort_disconnected()
         if self.read_paused:
-            self.disconnect_check_timer = self.loop.call_later(DISCONNECT_CHECK_INTERVAL, self.check_disconnects)
+            self.disconnect_check_timer = self.loop.call_later(
+                DISCONNECT_CHECK_INTERVAL, self.check_disconnects)
 
     def check_connections(self) -> None:
+        """Runs every CHECK_INTERVAL: records stalls of the loop and applies the connections' timeouts."""
         self.check_timer = self.loop.call_later(CHECK_INTERVAL, self.check_connections)
         now = self.clock()
         self.driver.loop_lag.note(self.loop_stalls.record_check(now))
@@ -783,15 +840,17 @@
             connection.check_timeouts(now)
 
     def is_ready(self) -> bool:
+        """True if /ready is answered with 200."""
         return not (self.stopping or self.lame_duck) and self.is_serving()
 
     def listen_on(self, listener: socket.socket) -> None:
+        """Starts to accept connections from a listening socket."""
         listener.setblocking(False)
         self.listener = listener
         self.loop.add_reader(listener, self.accept)
 
     def pause_accepting(self) -> None:
-        """What waits and what comes is for the successor, which has the same socket."""
+        """Leaves queued and further connections to the successor, which has the same listening socket."""
         if self.accept_retry is not None:
             self.accept_retry.cancel()
             self.accept_retry = None
@@ -799,31 +858,36 @@
             self.loop.remove_reader(self.listener)
 
     def resume_accepting(self) -> None:
+        """Accepts connections again after the successor has gone."""
         if self.listener is not None:
             self.loop.add_reader(self.listener, self.accept)
 
     def hand_over_idle(self) -> None:
+        """Hands over all connections that have no request in progress."""
         for connection in list(self.connections):
             connection.try_hand_over()
 
     def cancel_hand_over(self) -> None:
+        """Keeps the connections that were not handed over yet."""
         for connection in self.connections:
             connection.cancel_hand_over()
 
-    def adopt_connection(self, descriptor: int, before: ConnectionHistory) -> None:
-        """A client's connection that the process before has given away between two requests."""
+    def adopt_connection(self, descriptor: int, history: ConnectionHistory) -> None:
+        """Serves a client connection that the predecessor has handed over between two requests."""
         sock = socket.socket(fileno=descriptor)
         sock.setblocking(False)
-        self.start_connection(sock, before)
+        self.start_connection(sock, history)
 
-    def start_connection(self, sock: socket.socket, before: ConnectionHistory = NO_HISTORY) -> None:
-        with suppress(OSError):  # the kernel's own size does as well
+    def start_connection(self, sock: socket.socket, history: ConnectionHistory = NO_HISTORY) -> None:
+        """Starts to serve an accepted socket."""
+        with suppress(OSError):  # the kernel's default size works too
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
-        task = self.loop.create_task(self.set_up_connection(sock, before))
+        task = self.loop.create_task(self.set_up_connection(sock, history))
         self.setting_up.add(task)
         task.add_done_callback(self.setting_up.discard)
 
     def accept(self) -> None:
+        """Accepts up to ACCEPT_BATCH connections, as far as there is capacity for them."""
         self.accept_retry = None
         failures = 0
         for _ in range(ACCEPT_BATCH):
@@ -843,21 +907,22 @@
                 if error.errno not in CONNECTION_ERRORS or failures >= MAX_ACCEPT_FAILURES:
                     self.driver.figures.others["accept failed"] += 1
                     return self.delay_accepting()
-                continue  # that client has gone again
+                continue  # that client has already disconnected
             failures = 0
             sock.setblocking(False)
             self.start_connection(sock)
 
-    async def set_up_connection(self, sock: socket.socket, before: ConnectionHistory) -> None:
+    async def set_up_connection(self, sock: socket.socket, history: ConnectionHistory) -> None:
+        """Creates the transport and protocol of an accepted socket."""
         try:
-            await self.loop.connect_accepted_socket(lambda: ClientConnection(self, sock, before), sock)
-        except OSError as error:  # a request may be on it: it is answered, and not only closed
-            log.warning("a connection could not be set up: %s", error)
+            await self.loop.connect_accepted_socket(lambda: ClientConnection(self, sock, history), sock)
+        except OSError as error:  # answered and not just closed, as a request may have been sent already
+            log.warning("could not set up a client connection: %s", error)
             self.driver.figures.others["connection not set up"] += 1
             await self.reject_socket(sock)
 
     async def reject_socket(self, sock: socket.socket) -> None:
-        """Answers on a socket without a transport, and gives its peer time to read that."""
+        """Answers 503 on a socket without a transport, and closes it after LINGER."""
         with suppress(OSError):
             sock.send(UNAVAILABLE_RESPONSE)
             sock.shutdown(socket.SHUT_WR)
@@ -866,50 +931,53 @@
             sock.close()
 
     def has_capacity(self) -> bool:
+        """True if there are fewer connections than max_connections."""
         return len(self.connections) + len(self.setting_up) + self.held_by_predecessor < self.max_connections
 
     def has_waiting_connection(self) -> bool:
-        """True if a connection waits to be accepted: only for that does another have to go."""
+        """True if a connection is waiting to be accepted."""
         return is_readable(cast(socket.socket, self.listener))
 
     def evict_idle(self) -> None:
-        """Closes some that have no request under way: their clients can open another.
+        """Closes connections without a request in progress, to accept waiting ones.
 
-        First those that wait only to be closed and peers that never asked for anything of a backend, many at
-        a time, as they may come in floods; only then the longest idle client.
+        Connections that only linger, and those that never had a request for a backend, go first, up to
+        MAX_EVICTED at a time, as they may arrive in floods. Otherwise the longest idle client's is closed.
         """
         idle = [c for c in self.connections if c.can_be_evicted()]
-        peers = [c for c in idle if c.closing or not c.has_backend_request]
-        most = MAX_EVICTED if peers else 1
-        for connection in heapq.nsmallest(most, peers or idle, lambda c: (not c.closing, c.idle_since)):
-            if connection.closing or not connection.has_unread_data():  # a close would cross a request
+        preferred = [c for c in idle if c.closing or not c.has_backend_request]
+        count = MAX_EVICTED if preferred else 1
+        for connection in heapq.nsmallest(count, preferred or idle, lambda c: (not c.closing, c.idle_since)):
+            if connection.closing or not connection.has_unread_data():  # unread data may be a request
                 connection.close_now("it made way for another")
 
     def delay_accepting(self) -> None:
-        """Leaves connections in the kernel's queue, where nothing is lost, until there is room again."""
+        """Stops accepting for ACCEPT_RETRY_INTERVAL; connections wait in the kernel's queue."""
         if self.listener is not None and self.accept_retry is None:
             self.loop.remove_reader(self.listener)
             self.accept_retry = self.loop.call_later(ACCEPT_RETRY_INTERVAL, self.retry_accepting)
 
     def retry_accepting(self) -> None:
+        """Accepts again after a delay."""
         self.accept_retry = None
         if self.listener is not None:
             self.loop.add_reader(self.listener, self.accept)
             self.accept()
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
+        """Removes a closed connection, and accepts a waiting one in its place."""
         self.connections.discard(connection)
         if self.send_to_successor is not None:
             return
-        if self.accept_retry is not None:  # there is room now
+        if self.accept_retry is not None:  # there is capacity now
             self.accept_retry.cancel()
             self.accept_retry = self.loop.call_soon(self.retry_accepting)
 
     async def stop_listening(self) -> None:
-        """Takes in all that already waits, then listens no more."""
-        end = self.clock() + BACKLOG_DRAIN_TIMEOUT
+        """Accepts all connections that are already waiting, then closes the listening socket."""
+        deadline = self.clock() + BACKLOG_DRAIN_TIMEOUT
         while self.listener is not None and self.send_to_successor is None and self.has_waiting_connection():
-            if self.clock() >= end:
+            if self.clock() >= deadline:
                 break
             self.accept()
             await asyncio.sleep(0.0 if self.has_capacity() else ACCEPT_RETRY_INTERVAL)
@@ -918,30 +986,32 @@
             self.listener.close()
             self.listener = None
 
-    async def wait_handed_over(self, at_most: float) -> None:
-        """Waits until every connection is the successor's, or at its end."""
-        end = self.clock() + at_most
-        while self.connections and self.clock() < end:
+    async def wait_handed_over(self, timeout: float) -> None:
+        """Waits until every connection is handed over or closed, for up to `timeout` seconds."""
+        deadline = self.clock() + timeout
+        while self.connections and self.clock() < deadline:
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
+        """Cancels the timers; connections and the listening socket are not closed."""
         self.check_timer.cancel()
         if self.disconnect_check_timer is not None:
             self.disconnect_check_timer.cancel()
 
-    async def wait_flushed(self, at_most: float) -> None:
-        """Waits until the kernel has every answer, but not for ever on a client that reads nothing."""
-        end = self.clock() + at_most
-        while any(not c.is_write_buffer_empty() for c in self.connections) and self.clock() < end:
+    async def wait_flushed(self, timeout: float) -> None:
+        """Waits until the kernel has accepted every answer, for up to `timeout` seconds."""
+        deadline = self.clock() + timeout
+        while any(not c.is_write_buffer_empty() for c in self.connections) and self.clock() < deadline:
             await asyncio.sleep(0.01)
 
     def close_idle(self) -> None:
+        """Closes all idle connections gracefully."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.close_gracefully()
 
     def close_idle_without_unread(self) -> bool:
-        """Closes what is idle, but for those on which something has come; True once all are closed."""
+        """Closes idle connections without unread data; returns True once all connections are closing."""
         for connection in list(self.connections):
             if connection.is_idle() and not connection.has_unread_data():
                 connection.close_gracefully()
