--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -52,7 +52,7 @@
     errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT, errno.ECONNRESET, errno.EPERM))
 BACKLOG_DRAIN_TIMEOUT = 0.2  # seconds to accept queued connections at a stop: ample for a full backlog
 MAX_EVICTED = 16  # connections evicted at a time: in a flood, one at a time would not keep up
-HANDOVER_RETRY_INTERVAL = 0.005  # seconds until a hand-over is retried; the last answer is still being written
+HANDOVER_RETRY_INTERVAL = 0.005  # seconds until a hand-over is retried: the last answer is still being sent
 ACCEPT_BATCH = 64  # connections accepted per loop iteration, so that established ones are served in between
 
 CALL_ID = re.compile(rb"[0-9A-Za-z_.-]{1,64}")
@@ -72,8 +72,9 @@
     503: b"Service Unavailable", 504: b"Gateway Timeout",
 }
 
-UNAVAILABLE_RESPONSE = (b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.05\r\nConnection: close\r\n"
-               b"Content-Length: 0\r\n\r\n")
+UNAVAILABLE_RESPONSE = (
+    b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.05\r\nConnection: close\r\n"
+    b"Content-Length: 0\r\n\r\n")
 
 log = logging.getLogger("embersill")
 
--- a/embersill/net/listening.py
+++ b/embersill/net/listening.py
@@ -1,6 +1,6 @@
-"""Listening sockets, opened again for a while where that fails for a moment.
+"""Opens listening sockets, with retries after transient errors.
 
-They are made here and not by the loop: uvloop's server comes up without a socket where none was to be had.
+The event loop is not used for this: uvloop's server starts without a socket if none could be created.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import logging
 import socket
 
-LISTEN_TIMEOUT = 5.0  # seconds for which an address is tried: ready is owed within 10
-LISTEN_RETRY_INTERVAL = 0.05  # seconds between tries
+LISTEN_TIMEOUT = 5.0  # seconds of retries for an address: the gateway must be ready within 10
+LISTEN_RETRY_INTERVAL = 0.05  # seconds
 TRANSIENT_ERRORS = frozenset(
     (
         errno.ENFILE,
@@ -30,7 +30,7 @@
 
 
 def bind_listener(address: tuple[str, int], backlog: int, share_port: bool) -> socket.socket:
-    """A listening socket at once; OSError says why there is none."""
+    """Opens a listening socket in a single try; raises OSError."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -45,17 +45,17 @@
 
 
 async def open_listener(address: tuple[str, int], backlog: int, share_port: bool = False) -> socket.socket:
-    """A listening socket, tried again for LISTEN_WITHIN after failures that may pass; else OSError.
+    """Opens a listening socket, and retries transient errors for LISTEN_TIMEOUT; raises OSError.
 
-    `share_port`: a successor that can't be given this socket, as this process hangs, can still bind its own.
+    With `share_port`, a successor can bind its own socket if this process hangs and cannot pass this one.
     """
     loop = asyncio.get_running_loop()
-    end = loop.time() + LISTEN_TIMEOUT
+    deadline = loop.time() + LISTEN_TIMEOUT
     while True:
         try:
             return bind_listener(address, backlog, share_port)
         except OSError as error:
-            if error.errno not in TRANSIENT_ERRORS or loop.time() >= end:
+            if error.errno not in TRANSIENT_ERRORS or loop.time() >= deadline:
                 raise
-            log.warning("%s:%d is tried again: %s", *address, error)
+            log.warning("could not listen on %s:%d, retrying: %s", *address, error)
         await asyncio.sleep(LISTEN_RETRY_INTERVAL)
--- a/embersill/net/tcp_info.py
+++ b/embersill/net/tcp_info.py
@@ -1,16 +1,16 @@
-"""What the kernel tells of a TCP connection: getsockopt with TCP_INFO, as in tcp(7) and linux/tcp.h."""
+"""State of a TCP connection from the kernel: getsockopt with TCP_INFO, as in tcp(7) and linux/tcp.h."""
 
 from __future__ import annotations
 
 import socket
 import struct
 
-# tcpi_last_data_recv, milliseconds: eight bytes and eleven numbers of 32 bits stand before it
+# tcpi_last_data_recv, in milliseconds: eight bytes and eleven 32-bit integers precede it
 LAST_DATA_RECEIVED = struct.Struct("=52xI")
 
 
 def seconds_since_data(connection: socket.socket) -> float:
-    """Seconds since the last bytes of a connection reached this machine; 0 where the kernel doesn't tell."""
+    """Seconds since the last data of a connection arrived here; 0 if the kernel does not report it."""
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
     except OSError:
