--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies and answers that are passed on as they come: whole, bounded, and broken where they broke."""
+"""Streaming of request and answer bodies: contents, buffer limits, and bodies that break off."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from embersill.lab.peers import Asked, message, read_message
 from embersill.net.bodies import READ_SIZE, STREAMING_THRESHOLD, closed_by_peer, is_readable
-from embersill.net.clients import REQUEST_TIMEOUT, MIN_BODY_RATE
+from embersill.net.clients import MIN_BODY_RATE, REQUEST_TIMEOUT
 from tests.bed import Bed, Client, links, request, roomy_settings, run, running
 from tests.peers import SOON, serve
 
@@ -19,7 +19,7 @@
 
 
 def framed(framing: str, pieces: list[bytes]) -> tuple[bytes, list[bytes], bytes]:
-    """The head, pieces and end of an answer in this framing; trailers and an interim answer included."""
+    """The head, body parts and end of an answer in this framing, with trailers and an interim answer."""
     if framing == "chunked":
         head = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
         chunks = [b"%x;a=b\r\n%b\r\n" % (len(p), p) for p in pieces]
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("framing", FRAMINGS)
-def test_a_large_answer_goes_on_while_it_comes(framing: str) -> None:
+def test_a_large_answer_is_streamed(framing: str) -> None:
     async def test() -> None:
         async with running() as bed:
             seen = asyncio.Event()
@@ -53,7 +53,7 @@
             seen.set()
             status, _, body = await client.answer()
             assert status == 200 and body == LARGE
-            assert (await client.ask(request(2)))[0] == 200  # the connection is still good
+            assert (await client.ask(request(2)))[0] == 200  # the connection can be reused
             assert bed.program.driver.figures.ended["success"]["lookup"] == 2
             assert not bed.program.driver.pending and not bed.program.driver.gateway.jobs
 
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-def test_a_large_answer_that_breaks_looks_broken_and_is_not_asked_for_again(framing: str) -> None:
+def test_a_streamed_answer_that_breaks_off_is_reset_and_not_retried(framing: str) -> None:
     async def test() -> None:
         async with running(backends=2) as bed:
             head, pieces, _ = framed(framing, [LARGE[:500_000], LARGE[500_000:]])
@@ -84,15 +84,15 @@
     run(test)
 
 
-def test_a_short_answer_that_breaks_is_made_good_by_another_attempt() -> None:
+def test_a_buffered_answer_that_breaks_off_is_retried() -> None:
     async def test() -> None:
         async with running(backends=2) as bed:
-            broke: list[int] = []
+            failed: list[int] = []
 
             def once(writer: asyncio.StreamWriter, asked: Asked) -> None:
-                if broke:
+                if failed:
                     return serve(writer, asked)
-                broke.append(1)
+                failed.append(1)
                 writer.write(message(200, b"x" * STREAMING_THRESHOLD)[:-1])
                 return writer.transport.abort()
 
@@ -104,7 +104,7 @@
     run(test)
 
 
-def test_an_answer_nobody_reads_stops_its_backend() -> None:
+def test_reading_from_the_backend_pauses_while_the_client_does_not_read() -> None:
     async def test() -> None:
         async with running() as bed:
             sent: list[int] = []
@@ -140,36 +140,38 @@
 
 
 @pytest.mark.parametrize("text", [
-    request(1, "extract", body=LARGE), chunked(1, LARGE), request(1, "extract", body=LARGE[:STREAMING_THRESHOLD]),
-    chunked(1, LARGE[:STREAMING_THRESHOLD]), chunked(1, b""), request(1, "extract", body=LARGE, Expect="100-continue"),
+    request(1, "extract", body=LARGE), chunked(1, LARGE),
+    request(1, "extract", body=LARGE[:STREAMING_THRESHOLD]), chunked(1, LARGE[:STREAMING_THRESHOLD]),
+    chunked(1, b""), request(1, "extract", body=LARGE, Expect="100-continue"),
 ], ids=["large", "large chunked", "whole", "whole chunked", "empty chunked", "expected"])
-def test_a_body_of_any_size_and_framing_reaches_the_backend_unchanged(text: bytes) -> None:
+def test_bodies_of_all_sizes_and_framings_reach_the_backend_unchanged(text: bytes) -> None:
     async def test() -> None:
         async with running() as bed:
             client = await bed.client()
-            client.send(text + request(2))  # the next one behind it at once
+            client.send(text + request(2))  # with a pipelined request behind it
             if b"Expect" in text:
                 async with asyncio.timeout(SOON):
                     assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             assert [(await client.answer())[2], (await client.answer())[2]] == [
                 b"served %016x" % 1, b"served %016x" % 2]
-            whole = asyncio.StreamReader()
-            whole.feed_data(text)
+            sent = asyncio.StreamReader()
+            sent.feed_data(text)
             (asked,) = [a for a in bed.seen() if a[1]["x-call-id"] == f"{1:016x}"]
-            assert asked[2] == (await read_message(whole))[2] and "x-sum" not in asked[1]
+            assert asked[2] == (await read_message(sent))[2] and "x-sum" not in asked[1]
             assert bed.program.dialer.written == 2 and not bed.program.driver.gateway.jobs
 
     run(test)
 
 
-async def upload_under_way(bed: Bed, client: Client) -> None:
+async def start_upload(bed: Bed, client: Client) -> None:
+    """Sends a part of a large body, and waits until an attempt has a connection."""
     client.send(request(1, "extract", body=LARGE)[:300_000])
     async with asyncio.timeout(SOON):
         while not any(c.attempt for c in links(bed.program.driver.pool)):
             await asyncio.sleep(0)
 
 
-def test_a_body_that_its_backend_does_not_take_stops_the_client() -> None:
+def test_reading_from_the_client_pauses_while_the_backend_does_not_read() -> None:
     async def test() -> None:
         async with running() as bed:
             bed.backends[0].server.close()  # type: ignore[union-attr]
@@ -190,11 +192,11 @@
             (connection,) = bed.program.front.connections
             assert connection.upload is not None
             assert connection.upload.buffered <= bed.program.front.buffer_limit + READ_SIZE
-            front, clock = bed.program.front, bed.program.front.clock
-            front.clock = lambda: clock() + 60.0
-            front.check_connections()
-            assert not connection.input_ended  # it can't send what is not read
-            front.clock = clock
+            client_server, clock = bed.program.front, bed.program.front.clock
+            client_server.clock = lambda: clock() + 60.0
+            client_server.check_connections()
+            assert not connection.input_ended  # the timeout does not run while reading is paused
+            client_server.clock = clock
             free.set()
             assert (await client.answer())[0] == 200
             server.close()
@@ -202,15 +204,15 @@
     run(test)
 
 
-def test_after_the_first_bytes_of_a_body_have_gone_on_there_is_no_further_attempt() -> None:
+def test_a_streamed_body_is_not_sent_to_a_second_backend() -> None:
     async def test() -> None:
         async with running(backends=2) as bed:
             for backend in bed.backends:
                 backend.server.close()  # type: ignore[union-attr]
-            calls: list[int] = []
+            received: list[int] = []
 
             async def cuts(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                calls.append(1)
+                received.append(1)
                 await reader.readexactly(100_000)
                 writer.transport.abort()
 
@@ -219,55 +221,55 @@
             for name in ("b0", "b1"):
                 bed.program.driver.pool.set_address(name, (address[0], address[1]))
             client = await bed.client()
-            await upload_under_way(bed, client)
+            await start_upload(bed, client)
             status, headers, _ = await client.answer()
-            assert status == 429 and float(headers["retry-after"]) > 0  # the backend never had the whole
-            assert len(calls) == 1 and bed.program.dialer.written == 0
+            assert status == 429 and float(headers["retry-after"]) > 0  # the backend has no complete body
+            assert len(received) == 1 and bed.program.dialer.written == 0
             assert await client.closed()
             server.close()
 
     run(test)
 
 
-@pytest.mark.parametrize(("brought", "ended"), [(200_000, False), (70_000, True)])
-def test_a_body_must_go_on_coming(brought: int, ended: bool) -> None:
+@pytest.mark.parametrize(("sent", "times_out"), [(200_000, False), (70_000, True)])
+def test_a_streamed_body_must_keep_a_minimum_rate(sent: int, times_out: bool) -> None:
     async def test() -> None:
         async with running() as bed:
             client = await bed.client()
             text = request(1, "extract", body=LARGE)
-            client.send(text[:len(text) - len(LARGE) + brought])
+            client.send(text[:len(text) - len(LARGE) + sent])
             async with asyncio.timeout(SOON):
-                while sum(c.body_size for c in bed.program.front.connections) < brought:
+                while sum(c.body_size for c in bed.program.front.connections) < sent:
                     await asyncio.sleep(0)
-            front, clock = bed.program.front, bed.program.front.clock
-            front.clock = lambda: clock() + REQUEST_TIMEOUT + 150_000 / MIN_BODY_RATE
-            front.check_connections()
-            front.clock = clock
-            if ended:
+            client_server, clock = bed.program.front, bed.program.front.clock
+            client_server.clock = lambda: clock() + REQUEST_TIMEOUT + 150_000 / MIN_BODY_RATE
+            client_server.check_connections()
+            client_server.clock = clock
+            if times_out:
                 assert (await client.answer())[0] == 408 and await client.closed()
             else:
-                client.send(text[len(text) - len(LARGE) + brought:])
+                client.send(text[len(text) - len(LARGE) + sent:])
                 assert (await client.answer())[0] == 200
             assert not bed.program.driver.gateway.jobs
 
     run(test)
 
 
-def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
+def test_the_budget_of_a_streamed_request_starts_with_its_last_byte() -> None:
     async def test() -> None:
         env = roomy_settings()
         async with running(env=env) as bed:
             client = await bed.client()
             text = request(1, "extract", budget=1.0, body=LARGE)
             client.send(text[:200_000])
-            await asyncio.sleep(1.2)  # longer than the client's time, which does not run yet
+            await asyncio.sleep(1.2)  # longer than the budget, which does not run yet
             client.send(text[200_000:])
             assert (await client.answer())[0] == 200
 
     run(test)
 
 
-def test_a_socket_that_is_closed_holds_an_end() -> None:
+def test_a_closed_socket_counts_as_closed_by_its_peer() -> None:
     sock, other = socket.socketpair()
     assert not is_readable(sock)
     sock.close()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The HTTP server side, over loopback sockets: what is taken, what is turned away, and in which order."""
+"""The HTTP server over loopback sockets: validation, order of answers, evictions and timeouts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from embersill.lab.peers import Asked, message
 from embersill.net.bodies import MAX_BODY, STREAMING_THRESHOLD
-from embersill.net.clients import MAX_HEAD, REQUEST_TIMEOUT, MIN_BODY_RATE, STALLED_AFTER, WRITE_TIMEOUT
+from embersill.net.clients import MAX_HEAD, MIN_BODY_RATE, REQUEST_TIMEOUT, STALLED_AFTER, WRITE_TIMEOUT
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import serve
 
@@ -22,7 +22,7 @@
     run(inside)
 
 
-def test_a_request_goes_on_unchanged_and_so_does_its_answer() -> None:
+def test_requests_and_answers_are_forwarded_unchanged() -> None:
     async def test(bed: Bed, client: Client) -> None:
         status, _, body = await client.ask(request(0xabc, "report", body=b"Vestergade 1"))
         assert (status, body) == (200, b"served 0000000000000abc")
@@ -34,8 +34,8 @@
     with_bed(test)
 
 
-def test_connections_on_both_sides_are_used_again() -> None:
-    # the parser forgets whether to keep a connection once its callback is over: asked later, it said no
+def test_client_and_backend_connections_are_reused() -> None:
+    # should_keep_alive() of the parser is only valid inside its callback; a later call returned False.
     async def test(bed: Bed, client: Client) -> None:
         for number in range(5):
             assert (await client.ask(request(number)))[0] == 200
@@ -44,7 +44,7 @@
     with_bed(test)
 
 
-def test_pipelined_requests_are_answered_in_order_though_the_first_takes_longest() -> None:
+def test_pipelined_requests_are_answered_in_order_even_if_the_first_is_slowest() -> None:
     async def test(bed: Bed, client: Client) -> None:
         both = asyncio.Event()
 
@@ -62,8 +62,8 @@
     with_bed(test)
 
 
-def test_a_long_pipeline_is_answered_whole() -> None:
-    # reading stops while enough requests wait, and has to go on again; the module may refuse some of so many
+def test_all_requests_of_a_long_pipeline_are_answered() -> None:
+    # Reading pauses at MAX_PIPELINED requests and must resume. Some of the requests may be refused for quota.
     async def test(bed: Bed, client: Client) -> None:
         client.send(b"".join(request(n, "report", body=b"x" * 5000) for n in range(60)))
         for number in range(60):
@@ -73,12 +73,12 @@
     with_bed(test)
 
 
-def test_split_and_chunked_requests_arrive_whole() -> None:
+def test_a_chunked_request_sent_byte_by_byte_is_forwarded_completely() -> None:
     async def test(bed: Bed, client: Client) -> None:
         text = request(7, "extract", drop="Content-Length", Transfer_Encoding="chunked", body=b"")
         text += b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-        for place in range(len(text)):
-            client.send(text[place:place + 1])
+        for position in range(len(text)):
+            client.send(text[position:position + 1])
             await client.writer.drain()
             await asyncio.sleep(0)
         assert (await client.answer())[0] == 200
@@ -131,32 +131,32 @@
     (request(1, "extract", Expect="200-ok"), 417),
     (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MAX_HEAD), 431),
 ], ids=lambda value: str(value)[:60])
-def test_bad_input_is_told_and_reaches_nobody(text: bytes, status: int) -> None:
+def test_invalid_requests_are_rejected_and_not_forwarded(text: bytes, status: int) -> None:
     async def test(bed: Bed, client: Client) -> None:
-        told, _, body = await client.ask(text)
-        assert told == status and len(body.splitlines()) <= 1
+        received_status, _, body = await client.ask(text)
+        assert received_status == status and len(body.splitlines()) <= 1
         assert bed.program.driver.taken == 0 and not bed.seen()
-        assert (await (await bed.client()).ask(request(2)))[0] == 200  # and the process goes on
+        assert (await (await bed.client()).ask(request(2)))[0] == 200  # the gateway still serves
 
     with_bed(test)
 
 
-def test_the_largest_body_passes() -> None:
+def test_the_largest_buffered_body_is_accepted() -> None:
     async def test(bed: Bed, client: Client) -> None:
         assert (await client.ask(request(1, "extract", body=b"x" * STREAMING_THRESHOLD)))[0] == 200
 
     with_bed(test)
 
 
-def test_a_reset_client_is_an_event_and_its_attempt_is_called_off() -> None:
+def test_a_reset_by_the_client_cancels_its_attempt() -> None:
     async def inside() -> None:
         env = roomy_settings()
-        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no time-out ends it in the test
+        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no timeout within the test
         async with running(env=env) as bed:
-            client, gone = await bed.client(), asyncio.Event()
-            bed.backends[0].script = [lambda writer, asked: gone.set()]
+            client, received = await bed.client(), asyncio.Event()
+            bed.backends[0].script = [lambda writer, asked: received.set()]
             client.send(request(1, budget=1000.0))
-            await gone.wait()  # the backend has it, and answers nothing
+            await received.wait()  # the backend has the request, and does not answer
             client.reset()
             await bed.backends[0].until(lambda: bed.backends[0].ended == 1)
             assert not bed.program.driver.unanswered and not bed.program.driver.pending
@@ -164,7 +164,7 @@
     run(inside)
 
 
-def test_a_full_house_makes_room_by_idle_connections_only() -> None:
+def test_only_idle_connections_are_evicted_at_the_connection_limit() -> None:
     async def test(bed: Bed, client: Client) -> None:
         free = asyncio.Event()
 
@@ -186,8 +186,8 @@
     with_bed(test)
 
 
-def test_a_client_that_reads_nothing_is_not_read_either() -> None:
-    # its answers would pile up in the gateway's memory
+def test_no_requests_are_read_from_a_client_that_does_not_read_answers() -> None:
+    # Otherwise its answers would accumulate in the gateway's memory.
     async def test(bed: Bed, client: Client) -> None:
         large = message(200, b"x" * STREAMING_THRESHOLD)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
@@ -208,40 +208,40 @@
     with_bed(test)
 
 
-def test_a_client_that_never_reads_is_cut_off_in_the_end() -> None:
-    # it kept its descriptor and its answers' memory for as long as it liked
+def test_a_client_that_never_reads_is_disconnected_after_a_timeout() -> None:
+    # Otherwise it would keep its descriptor and the memory of its answers indefinitely.
     async def test(bed: Bed, client: Client) -> None:
-        front, clock = bed.program.front, bed.program.front.clock
+        server, clock = bed.program.front, bed.program.front.clock
         large = message(200, b"x" * STREAMING_THRESHOLD)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(b"".join(request(n) for n in range(1000)))
-        while not any(c.write_blocked for c in front.connections):
+        while not any(c.write_blocked for c in server.connections):
             await asyncio.sleep(0)
         await bed.answered()
-        front.check_connections()
-        assert any(c.write_blocked for c in front.connections)  # not before its time
-        front.clock = lambda: clock() + WRITE_TIMEOUT
-        front.check_connections()
-        while any(c.write_blocked for c in front.connections):
+        server.check_connections()
+        assert any(c.write_blocked for c in server.connections)  # not before the timeout
+        server.clock = lambda: clock() + WRITE_TIMEOUT
+        server.check_connections()
+        while any(c.write_blocked for c in server.connections):
             await asyncio.sleep(0)
 
     with_bed(test)
 
 
-def test_half_sent_requests_make_way_for_clients_that_ask() -> None:
+def test_stalled_requests_are_evicted_for_other_clients() -> None:
     async def test(bed: Bed, client: Client) -> None:
-        front, now = bed.program.front, bed.program.front.clock()
-        front.check_timer.cancel()  # only the want of room is to end it
-        front.max_connections = 1
+        server, now = bed.program.front, bed.program.front.clock()
+        server.check_timer.cancel()  # only the eviction may close it
+        server.max_connections = 1
         client.send(request(1)[:40])
-        while not any(c.in_request for c in front.connections):
+        while not any(c.in_request for c in server.connections):
             await asyncio.sleep(0)
-        assert not front.has_capacity()
-        front.evict_idle()
-        assert not any(c.closing for c in front.connections)
-        front.clock = lambda: now + STALLED_AFTER + 1.0
+        assert not server.has_capacity()
+        server.evict_idle()
+        assert not any(c.closing for c in server.connections)
+        server.clock = lambda: now + STALLED_AFTER + 1.0
         other = await bed.client()
         assert (await other.ask(READY))[0] == 200
         assert await client.closed()
@@ -249,8 +249,8 @@
     with_bed(test)
 
 
-def test_a_stopping_gateway_answers_the_whole_pipeline_before_it_closes() -> None:
-    # the first answer's "Connection: close" cut off the requests behind it, which had been taken
+def test_a_stopping_gateway_answers_all_pipelined_requests_before_it_closes() -> None:
+    # With "Connection: close" in the first answer, the accepted requests behind it would lose theirs.
     async def test(bed: Bed, client: Client) -> None:
         free = asyncio.Event()
 
@@ -271,7 +271,7 @@
     with_bed(test)
 
 
-def test_ready_follows_the_list() -> None:
+def test_ready_requires_a_serving_backend() -> None:
     async def test(bed: Bed, client: Client) -> None:
         assert (await client.ask(READY))[0] == 200
         asked = len(bed.discovery.asked)
@@ -282,74 +282,76 @@
     with_bed(test)
 
 
-@pytest.mark.parametrize("whole", [b"", READY])
-@pytest.mark.parametrize("part", [request(1)[:40], request(1, "extract")[:-3], b"GET"])
-def test_a_request_that_never_comes_whole_is_told_so_in_time(whole: bytes, part: bytes) -> None:
+@pytest.mark.parametrize("complete", [b"", READY])
+@pytest.mark.parametrize("incomplete", [request(1)[:40], request(1, "extract")[:-3], b"GET"])
+def test_an_incomplete_request_is_answered_with_a_timeout(complete: bytes, incomplete: bytes) -> None:
     async def test(bed: Bed, client: Client) -> None:
-        front, clock = bed.program.front, bed.program.front.clock
-        if whole:
-            assert (await client.ask(whole))[0] == 200
-        client.send(part)
-        while not any(c.in_request for c in front.connections):
+        server, clock = bed.program.front, bed.program.front.clock
+        if complete:
+            assert (await client.ask(complete))[0] == 200
+        client.send(incomplete)
+        while not any(c.in_request for c in server.connections):
             await asyncio.sleep(0)
-        front.check_connections()
-        assert not any(c.closing for c in front.connections)  # not before its time
-        front.clock = lambda: clock() + REQUEST_TIMEOUT + 10 / MIN_BODY_RATE
-        front.check_connections()
+        server.check_connections()
+        assert not any(c.closing for c in server.connections)  # not before the timeout
+        server.clock = lambda: clock() + REQUEST_TIMEOUT + 10 / MIN_BODY_RATE
+        server.check_connections()
         assert (await client.answer())[0] == 408
         assert await client.closed() and not bed.program.driver.taken
 
     with_bed(test)
 
 
-def test_bytes_in_drops_do_not_put_off_the_end_of_a_request() -> None:
+def test_slowly_sent_bytes_do_not_extend_the_request_timeout() -> None:
     async def test(bed: Bed, client: Client) -> None:
-        front, clock = bed.program.front, bed.program.front.clock
+        server, clock = bed.program.front, bed.program.front.clock
         client.send(request(1)[:40])
-        while not any(c.in_request for c in front.connections):
+        while not any(c.in_request for c in server.connections):
             await asyncio.sleep(0)
-        front.clock = lambda: clock() + REQUEST_TIMEOUT
-        (connection,) = front.connections
+        server.clock = lambda: clock() + REQUEST_TIMEOUT
+        (connection,) = server.connections
         client.send(request(1)[40:50])
         before = connection.last_read_at
         while connection.last_read_at == before:
             await asyncio.sleep(0)
-        front.check_connections()
+        server.check_connections()
         assert (await client.answer())[0] == 408
 
     with_bed(test)
 
 
-def test_a_peer_that_sends_nothing_is_closed_and_an_idle_client_is_not() -> None:
+def test_a_connection_without_a_request_is_closed_and_an_idle_client_is_kept() -> None:
     async def test(bed: Bed, client: Client) -> None:
-        front, clock = bed.program.front, bed.program.front.clock
+        server, clock = bed.program.front, bed.program.front.clock
         assert (await client.ask(READY))[0] == 200
         silent = await bed.client()
-        while len(front.connections) < 2:
+        while len(server.connections) < 2:
             await asyncio.sleep(0)
-        front.clock = lambda: clock() + REQUEST_TIMEOUT
-        front.check_connections()
+        server.clock = lambda: clock() + REQUEST_TIMEOUT
+        server.check_connections()
         assert await silent.closed()
         assert (await client.ask(READY))[0] == 200
 
     with_bed(test)
 
 
-def test_a_flood_of_peers_makes_way_before_clients_and_without_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_without_backend_requests_are_evicted_first_and_without_delay(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("embersill.net.clients.ACCEPT_RETRY_INTERVAL", 1000.0)
 
     async def test(bed: Bed, client: Client) -> None:
-        front, clock = bed.program.front, bed.program.front.clock
-        front.max_connections = 5
-        assert (await client.ask(request(1)))[0] == 200  # the longest idle of all
-        flood = [await bed.client() for _ in range(4)]
-        for peer in flood:
+        server, clock = bed.program.front, bed.program.front.clock
+        server.max_connections = 5
+        assert (await client.ask(request(1)))[0] == 200  # idle for longest
+        unserved = [await bed.client() for _ in range(4)]
+        for peer in unserved:
             assert (await peer.ask(READY))[0] == 200
-        front.clock = lambda: clock() + 1.0
+        server.clock = lambda: clock() + 1.0
         others = [await bed.client() for _ in range(4)]
         for number, other in enumerate(others):
             assert (await other.ask(request(2 + number)))[0] == 200
-        assert all([await peer.closed() for peer in flood])
+        assert all([await peer.closed() for peer in unserved])
         assert (await client.ask(request(9)))[0] == 200
 
     with_bed(test)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""The framing of a message by itself: its fields' spellings, and heads that come in pieces."""
+"""Message framing: forms of the framing fields, and heads that are split between reads."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from embersill.net.framing import BadFraming, Framing, HeadNormalizer, UnknownCoding, read_framing
 
-FIRST = b"HTTP/1.1 200 OK\r\n"
+STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize(
     "lengths",
     [[b"5"], [b"  5 "], [b"\t5\t"], [b"0005"], [b"5", b"5"], [b"5, 5"], [b"5,\t05", b" 5"]],
 )
-def test_valid_lengths_are_one_length(lengths: list[bytes]) -> None:
+def test_valid_lengths_are_accepted(lengths: list[bytes]) -> None:
     assert read_framing(lengths, []) == Framing(length=5)
 
 
@@ -23,25 +23,25 @@
     "lengths",
     [[b""], [b" "], [b"+5"], [b"-5"], [b"0x5"], [b"5 5"], [b"5", b"6"], [b"5, 6"], [b"5,"], [b"1" * 19]],
 )
-def test_malformed_or_differing_lengths_are_refused(lengths: list[bytes]) -> None:
+def test_malformed_or_differing_lengths_are_rejected(lengths: list[bytes]) -> None:
     with pytest.raises(BadFraming):
         read_framing(lengths, [])
 
 
 @pytest.mark.parametrize("coding", [b"chunked", b" Chunked\t", b"\tCHUNKED "])
-def test_chunked_is_read_in_any_case(coding: bytes) -> None:
+def test_chunked_is_case_insensitive(coding: bytes) -> None:
     assert read_framing([], [coding]) == Framing(chunked=True)
 
 
 @pytest.mark.parametrize(
     "codings", [[b"gzip"], [b"identity"], [b"gzip, chunked"], [b"chunked", b"chunked"], [b"x-chunked"], [b""]]
 )
-def test_another_coding_is_never_taken_for_none(codings: list[bytes]) -> None:
+def test_other_codings_are_rejected(codings: list[bytes]) -> None:
     with pytest.raises(UnknownCoding):
         read_framing([], codings)
 
 
-def test_both_a_length_and_a_coding_are_refused() -> None:
+def test_a_length_together_with_a_coding_is_rejected() -> None:
     with pytest.raises(BadFraming):
         read_framing([b"5"], [b"chunked"])
 
@@ -62,23 +62,23 @@
 
 
 @given(st.sampled_from(sorted(HEADS)), st.binary(max_size=20), st.lists(st.integers(0, 90)))
-def test_a_head_is_rewritten_alike_in_any_pieces(fields: bytes, body: bytes, cuts: list[int]) -> None:
-    text = FIRST + fields + body
-    normalizer, seen, behind = HeadNormalizer(), b"", b""
-    places = sorted({0, len(text), *(cut for cut in cuts if cut < len(text))})
-    for begin, end in zip(places, places[1:], strict=False):
-        piece = text[begin:end]
+def test_normalization_does_not_depend_on_the_split(fields: bytes, body: bytes, cuts: list[int]) -> None:
+    text = STATUS_LINE + fields + body
+    normalizer, normalized, after_head = HeadNormalizer(), b"", b""
+    positions = sorted({0, len(text), *(cut for cut in cuts if cut < len(text))})
+    for start, end in zip(positions, positions[1:], strict=False):
+        piece = text[start:end]
         if normalizer.complete:
-            behind += piece
+            after_head += piece
             continue
         head, rest = normalizer.feed(piece)
-        seen, behind = seen + head, behind + rest
+        normalized, after_head = normalized + head, after_head + rest
     assert normalizer.complete
-    assert behind == body
-    assert seen == FIRST + HEADS[fields]
+    assert after_head == body
+    assert normalized == STATUS_LINE + HEADS[fields]
 
 
-def test_only_a_line_that_may_frame_the_body_is_held_back() -> None:
+def test_only_lines_that_may_be_framing_fields_are_held_back() -> None:
     normalizer = HeadNormalizer()
     assert normalizer.feed(b"HTTP/1.1 2") == (b"HTTP/1.1 2", b"")
     assert normalizer.feed(b"00 OK\r\nX") == (b"00 OK\r\nX", b"")
@@ -88,7 +88,7 @@
     assert normalizer.feed(b"2 \r\n\r\nbody") == (b"Content-Length: 12\r\n\r\n", b"body")
 
 
-def test_blank_lines_before_a_head_belong_to_none() -> None:
+def test_blank_lines_before_a_head_are_not_its_end() -> None:
     normalizer = HeadNormalizer()
     assert normalizer.feed(b"\r\n\r\n") == (b"\r\n\r\n", b"")
     assert not normalizer.complete
--- a/tests/test_framing_requests.py
+++ b/tests/test_framing_requests.py
@@ -1,6 +1,7 @@
-"""Where a client's request ends, for every way to spell its length: over loopback, against a plain reader.
+"""Where a client's request ends, for all forms of its length, compared with a reference reader.
 
-What follows a request whose end is in doubt must not be taken for a request of its own.
+Guards against request smuggling: data after a request with ambiguous framing must not be parsed as another
+request.
 """
 
 from __future__ import annotations
@@ -26,38 +27,38 @@
 
 BODY = b"abcde"
 LAST = READY.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-SMUGGLED = 0xbad  # the id of a request that may reach a backend only where the plain reader finds it
-GOOD = [(lines, BODY) for lines in LENGTHS.values()] + [(lines, CHUNKS) for lines in CHUNKED.values()]
-any_good = pytest.mark.parametrize(("lines", "body"), GOOD, ids=[*LENGTHS, *CHUNKED])
+SMUGGLED = 0xbad  # the id of a request that may reach a backend only if the reference reader finds it
+VALID_FORMS = [(lines, BODY) for lines in LENGTHS.values()] + [(lines, CHUNKS) for lines in CHUNKED.values()]
+each_valid_form = pytest.mark.parametrize(("lines", "body"), VALID_FORMS, ids=[*LENGTHS, *CHUNKED])
 FORMS = {"chunks": CHUNKS, "body": BODY, "nothing": b""}
 
 
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """These backends send nothing behind an answer, so that their connections need not rest for it."""
+    """These backends send nothing after an answer, so that their connections may be reused at once."""
     monkeypatch.setattr("embersill.net.backends.REST", 0.0)
 
 
 def post(number: int, lines: bytes, body: bytes) -> bytes:
-    """A request with these lines in place of its Content-Length, of a customer of its own."""
+    """A request of its own customer, with these lines in position of its Content-Length."""
     head = request(number, "extract", customer=f"{number:016x}", body=b"", drop="Content-Length")
     return head.removesuffix(b"\r\n") + lines + b"\r\n\r\n" + body
 
 
 def varying(text: bytes) -> range:
-    """The places from where requests differ from each other."""
+    """The positions from which on requests differ from each other."""
     return range(text.index(b"Quota-Info: "), len(text))
 
 
 def by_byte(text: bytes) -> Delivery:
-    """In single bytes, where requests differ; the rest in pieces of some size."""
-    begin = varying(text)[0]
-    end = begin + 150
-    return split_at(text, [*range(0, begin, 60), *range(begin, end), *range(end, len(text), 60)])
+    """Splits into single bytes where requests differ, and into larger pieces elsewhere."""
+    start = varying(text)[0]
+    end = start + 150
+    return split_at(text, [*range(0, start, 60), *range(start, end), *range(end, len(text), 60)])
 
 
 def sized(lines: bytes, size: int) -> bytes:
-    """Lines that say five bytes, so that they say another size."""
+    """Replaces the length 5 in header lines with another size."""
     return lines.replace(b"5", b"%d" % size)
 
 
@@ -66,7 +67,7 @@
 
 
 async def send(bed: Bed, delivery: Delivery) -> tuple[Client, bytes]:
-    """Sends all on a connection of its own; what came back to its end."""
+    """Sends everything on a new connection; returns what was received until its end."""
     client = await bed.client()
     await deliver(client.writer, delivery)
     text = b"" if delivery.end is End.RESET else await read_to_end(client)
@@ -74,8 +75,8 @@
     return client, text.removesuffix(b"(reset)")
 
 
-async def settle(bed: Bed, bystander: Client) -> None:
-    """Waits until the gateway has seen the ends of all other connections, and sees that it still serves."""
+async def wait_settled(bed: Bed, bystander: Client) -> None:
+    """Waits until the gateway has closed all other connections, and checks that it still serves."""
     async with asyncio.timeout(SOON):
         while len(bed.program.front.connections) > 1:
             await asyncio.sleep(0.001)
@@ -83,13 +84,13 @@
 
 
 def check_streams(deliveries: Sequence[Delivery]) -> list[bytes]:
-    """Sends each and a last request on a connection of its own, and compares with the plain reader."""
+    """Sends each delivery and a last request on a new connection; compares with the reference reader."""
     texts: list[bytes] = []
 
     async def test(bed: Bed) -> None:
         bystander = await bed.client()
         assert (await bystander.ask(READY))[0] == 200
-        for delivery in deliveries:  # their call ids are the same: one after the other
+        for delivery in deliveries:  # one after the other, as their call ids are the same
             backend = await replace_backend(bed) if not texts else peers[0]
             peers[:] = [backend]
             backend.arrivals.clear()
@@ -109,20 +110,20 @@
     return all([a.status for a in read_answers(text)] == [b"200"] * times for text in texts)
 
 
-# requests whose end is clear
+# requests with unambiguous framing
 
 
-@any_good
+@each_valid_form
 def test_a_whole_request_is_taken_however_its_length_is_spelled(lines: bytes, body: bytes) -> None:
     text = post(1, lines, body)
     assert read_request(text).state is State.WHOLE
-    places = range(text.index(lines), len(text))
-    deliveries = [whole(text), by_byte(text), *(split_at(text, [place]) for place in places)]
+    positions = range(text.index(lines), len(text))
+    deliveries = [whole(text), by_byte(text), *(split_at(text, [position]) for position in positions)]
     assert all_served(check_streams(deliveries), 2)
 
 
-@any_good
-def test_a_body_that_looks_like_a_request_stays_a_body(lines: bytes, body: bytes) -> None:
+@each_valid_form
+def test_a_body_that_looks_like_a_request_is_not_parsed_as_one(lines: bytes, body: bytes) -> None:
     inner = request(SMUGGLED)
     if body == CHUNKS:
         text = post(1, lines, chunked(inner))
@@ -131,8 +132,8 @@
     assert all_served(check_streams([whole(text), by_byte(text), split_at(text, varying(text)[:1])]), 2)
 
 
-@any_good
-def test_pipelined_requests_are_told_apart_however_their_lengths_are_spelled(
+@each_valid_form
+def test_pipelined_requests_are_separated_in_every_length_form(
     lines: bytes, body: bytes
 ) -> None:
     empty = b"0\r\n\r\n" if body == CHUNKS else b""
@@ -143,12 +144,12 @@
     assert all_served(check_streams(deliveries), 4)
 
 
-def test_requests_of_all_spellings_follow_each_other_on_one_connection() -> None:
+def test_requests_in_all_length_forms_share_one_connection() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
-        for number, (lines, body) in enumerate(GOOD):
+        for number, (lines, body) in enumerate(VALID_FORMS):
             assert (await client.ask(post(number, lines, body)))[0] == 200
-        assert [asked[2] for asked in bed.seen()] == [BODY] * len(GOOD)
+        assert [asked[2] for asked in bed.seen()] == [BODY] * len(VALID_FORMS)
 
     with_bed(test)
 
@@ -158,23 +159,26 @@
     b"2\r\nab\r\n3;x=\"y z\"\r\ncde\r\n0\r\nX-Sum: 1\r\nX-Call-Id: 00000000000000ff\r\n\r\n",
     b"A\r\n0123456789\r\n1f\r\n" + b"x" * 31 + b"\r\n0\r\n\r\n",
 ], ids=["plain", "leading zeros", "extensions", "trailers", "hex digits"])
-def test_chunks_in_all_their_forms_are_read(form: bytes) -> None:
+def test_all_forms_of_chunks_are_accepted(form: bytes) -> None:
     texts = [post(1, lines, form) for lines in CHUNKED.values()]
-    assert all_served(check_streams([way(text) for text in texts for way in (whole, by_byte)]), 2)
+    assert all_served(check_streams([split(text) for text in texts for split in (whole, by_byte)]), 2)
 
 
 LARGE = bytes(range(256)) * (3 * STREAMING_THRESHOLD // 256)
 
 
-@any_good
-def test_a_large_body_arrives_whole_however_its_length_is_spelled(lines: bytes, body: bytes) -> None:
+@each_valid_form
+def test_a_large_body_is_complete_in_every_length_form(lines: bytes, body: bytes) -> None:
     text = post(1, lines, chunked(LARGE)) if body == CHUNKS else post(1, sized(lines, len(LARGE)), LARGE)
-    deliveries = [whole(text), split_at(text, [300, STREAMING_THRESHOLD, 2 * STREAMING_THRESHOLD]), split_at(text, range(400, 500))]
+    deliveries = [
+        whole(text), split_at(text, [300, STREAMING_THRESHOLD, 2 * STREAMING_THRESHOLD]),
+        split_at(text, range(400, 500)),
+    ]
     assert all_served(check_streams(deliveries), 2)
 
 
-@any_good
-def test_a_large_body_goes_on_in_the_framing_that_it_came_in(lines: bytes, body: bytes) -> None:
+@each_valid_form
+def test_a_large_body_is_forwarded_in_its_original_framing(lines: bytes, body: bytes) -> None:
     async def test(bed: Bed) -> None:
         text = post(1, lines, chunked(LARGE)) if body == CHUNKS else post(1, sized(lines, len(LARGE)), LARGE)
         client = await bed.client()
@@ -188,7 +192,7 @@
 
 
 @pytest.mark.parametrize("lines", named(LENGTHS))
-def test_a_body_over_the_bound_is_refused_however_its_length_is_spelled(lines: bytes) -> None:
+def test_a_body_over_the_limit_is_rejected_in_every_length_form(lines: bytes) -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         assert (await client.ask(post(1, sized(lines, MAX_BODY + 1), b"")))[0] == 413
@@ -197,39 +201,39 @@
     with_bed(test)
 
 
-# requests whose end is not clear
+# requests with ambiguous or malformed framing
 
 
 @pytest.mark.parametrize("lines", named(DOUBTFUL_LENGTHS, REPEATED_LENGTHS, BOTH))
-def test_a_request_of_doubtful_framing_is_read_rightly_or_refused(lines: bytes) -> None:
+def test_a_request_with_ambiguous_framing_is_read_correctly_or_rejected(lines: bytes) -> None:
     tails = [b"", request(SMUGGLED), b"\r\n" + request(SMUGGLED)]
     texts = [post(1, lines, form) + tail for form in FORMS.values() for tail in tails]
-    check_streams([way(text) for text in texts for way in (whole, by_byte)])
+    check_streams([split(text) for text in texts for split in (whole, by_byte)])
 
 
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("lines", named(MALFORMED_LENGTHS, OTHER_CODINGS))
-def test_a_request_of_malformed_framing_is_refused_and_what_follows_it_not_taken(
+def test_a_request_with_malformed_framing_is_rejected_and_nothing_after_it_accepted(
     lines: bytes, form: str
 ) -> None:
     assert read_request(post(1, lines, FORMS[form])).state is not State.WHOLE
     texts = [post(1, lines, FORMS[form]) + tail for tail in (b"", request(SMUGGLED))]
-    answers = check_streams([way(text) for text in texts for way in (whole, by_byte)])
+    answers = check_streams([split(text) for text in texts for split in (whole, by_byte)])
     statuses = {answer.status for text in answers for answer in read_answers(text)}
-    assert statuses <= {b"400", b"413", b"501"}  # it is not waited for what can't be told
+    assert statuses <= {b"400", b"413", b"501"}  # answered without waiting for a body of unknown length
 
 
 @pytest.mark.parametrize("lines", named(MALFORMED_LENGTHS, OTHER_CODINGS))
-def test_a_request_of_malformed_framing_harms_none_before_it(lines: bytes) -> None:
+def test_a_request_with_malformed_framing_does_not_affect_earlier_ones(lines: bytes) -> None:
     text = post(1, b"Content-Length: 5 ", BODY) + post(2, lines, CHUNKS) + request(SMUGGLED)
     for answers in check_streams([whole(text), by_byte(text)]):
         assert read_answers(answers)[0].status == b"200"
 
 
 @pytest.mark.parametrize("body", named(DAMAGED_CHUNKS))
-def test_damaged_chunks_are_refused_and_what_follows_them_not_taken(body: bytes) -> None:
+def test_damaged_chunks_are_rejected_and_nothing_after_them_accepted(body: bytes) -> None:
     if read_request(post(1, b"Transfer-Encoding: chunked", body)).state is State.CUT:
-        body += b"x\n"  # more than the half that would be awaited
+        body += b"x\n"  # completes the part for which the gateway would wait
     texts = [post(1, lines, body) + request(SMUGGLED) for lines in CHUNKED.values()]
     answers = check_streams([whole(text) for text in texts])
     assert not any(read_answer(text, End.FIN).status == b"200" for text in answers)
@@ -249,63 +253,63 @@
     post(1, b"Transfer-Encoding\x0b: chunked", CHUNKS),
     post(1, b"X-Pad: 1\rTransfer-Encoding: chunked", CHUNKS),
 ], ids=lambda text: re.sub(r"[^ -~]", "~", text.partition(b"first=0\r\n")[2].decode("latin-1")))
-def test_a_malformed_head_is_refused_and_what_follows_it_not_taken(text: bytes) -> None:
-    answers = check_streams([way(text + request(SMUGGLED)) for way in (whole, by_byte)])
+def test_a_malformed_head_is_rejected_and_nothing_after_it_accepted(text: bytes) -> None:
+    answers = check_streams([split(text + request(SMUGGLED)) for split in (whole, by_byte)])
     assert not any(read_answer(answer, End.FIN).status == b"200" for answer in answers)
 
 
-# requests that break off
+# truncated requests
 
 
 @pytest.mark.parametrize("end", CUTS)
-@any_good
-def test_a_request_cut_at_any_byte_reaches_nobody(lines: bytes, body: bytes, end: End) -> None:
+@each_valid_form
+def test_a_request_truncated_at_any_byte_is_not_forwarded(lines: bytes, body: bytes, end: End) -> None:
     async def test(bed: Bed) -> None:
         bystander = await bed.client()
         text = post(1, lines, body)
-        sent = await asyncio.gather(*(send(bed, whole(text[:place], end)) for place in varying(text)))
+        sent = await asyncio.gather(*(send(bed, whole(text[:position], end)) for position in varying(text)))
         assert not any(read_answer(answers, End.FIN).status == b"200" for _, answers in sent)
-        await settle(bed, bystander)
+        await wait_settled(bed, bystander)
         assert {asked[1]["x-call-id"] for asked in bed.seen()} == {f"{0xfff:016x}"}
 
     with_bed(test)
 
 
 @pytest.mark.parametrize("end", CUTS)
-def test_a_request_cut_in_its_first_lines_reaches_nobody(end: End) -> None:
+def test_a_request_truncated_in_its_first_lines_is_not_forwarded(end: End) -> None:
     async def test(bed: Bed) -> None:
         bystander = await bed.client()
         text = post(1, b"Content-Length: 5 ", BODY)
-        places = range(1, varying(text)[0])
-        for begin in range(0, len(places), 50):
-            await asyncio.gather(*(send(bed, whole(text[:p], end)) for p in places[begin:begin + 50]))
-        await settle(bed, bystander)
+        positions = range(1, varying(text)[0])
+        for start in range(0, len(positions), 50):
+            await asyncio.gather(*(send(bed, whole(text[:p], end)) for p in positions[start:start + 50]))
+        await wait_settled(bed, bystander)
         assert {asked[1]["x-call-id"] for asked in bed.seen()} == {f"{0xfff:016x}"}
 
     with_bed(test)
 
 
 @pytest.mark.parametrize("end", CUTS)
-@any_good
-def test_a_large_body_that_breaks_off_is_never_a_whole_one(lines: bytes, body: bytes, end: End) -> None:
+@each_valid_form
+def test_a_truncated_large_body_never_counts_as_complete(lines: bytes, body: bytes, end: End) -> None:
     async def test(bed: Bed) -> None:
         bystander = await bed.client()
         text = post(1, lines, chunked(LARGE)) if body == CHUNKS else post(1, sized(lines, len(LARGE)), LARGE)
-        for place in (STREAMING_THRESHOLD + 1000, len(text) - 4, len(text) - 1):
-            _, answers = await send(bed, whole(text[:place], end))
+        for position in (STREAMING_THRESHOLD + 1000, len(text) - 4, len(text) - 1):
+            _, answers = await send(bed, whole(text[:position], end))
             assert read_answer(answers, End.FIN).status != b"200"
-        await settle(bed, bystander)
+        await wait_settled(bed, bystander)
         assert {asked[1]["x-call-id"] for asked in bed.seen()} == {f"{0xfff:016x}"}
 
     with_bed(test)
 
 
-# what else a request's fields tell
+# other header fields
 
 
 @pytest.mark.parametrize("line", named(CLOSES))
-def test_nothing_is_taken_behind_a_request_that_closes(line: bytes) -> None:
-    texts = [post(1, lines + b"\r\n" + line, body) + request(SMUGGLED) for lines, body in GOOD]
+def test_nothing_is_accepted_after_a_request_with_connection_close(line: bytes) -> None:
+    texts = [post(1, lines + b"\r\n" + line, body) + request(SMUGGLED) for lines, body in VALID_FORMS]
     for answers in check_streams([whole(text) for text in texts]):
         assert [answer.status for answer in read_answers(answers)] == [b"200"]
 
@@ -315,7 +319,7 @@
     b"expect: \t 100-CONTINUE \t",
 ])
 @pytest.mark.parametrize("lines", [b"Content-Length: 5 ", b"Transfer-Encoding:\tchunked\t"])
-def test_a_client_that_waits_to_be_told_to_go_on_is_told(line: bytes, lines: bytes) -> None:
+def test_expect_100_continue_is_answered(line: bytes, lines: bytes) -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         client.send(post(1, lines + b"\r\n" + line, b""))
@@ -330,16 +334,16 @@
 
 
 def record_calls(bed: Bed, monkeypatch: pytest.MonkeyPatch) -> list[Call]:
-    """The calls that the gateway reads from now on."""
-    taken: list[Call] = []
+    """Records the calls that the driver accepts from now on."""
+    calls: list[Call] = []
     take = bed.program.driver.take
 
     def record(call: Call, exchange: Exchange) -> int:
-        taken.append(call)
+        calls.append(call)
         return take(call, exchange)
 
     monkeypatch.setattr(bed.program.driver, "take", record)
-    return taken
+    return calls
 
 
 AROUND = [
@@ -349,11 +353,11 @@
 
 @pytest.mark.parametrize(("before", "behind"), AROUND)
 @pytest.mark.parametrize("upper", [False, True])
-def test_white_space_round_a_value_and_the_case_of_a_name_tell_nothing(
+def test_white_space_around_values_and_the_case_of_names_do_not_matter(
     before: bytes, behind: bytes, upper: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test(bed: Bed) -> None:
-        taken = record_calls(bed, monkeypatch)
+        calls = record_calls(bed, monkeypatch)
         plain = request(1, "report", body=BODY, X_Again="1")
         first, *fields = plain.partition(b"\r\n\r\n")[0].split(b"\r\n")
         spelled = []
@@ -363,7 +367,7 @@
         client = await bed.client()
         assert (await client.ask(plain))[0] == 200
         assert (await client.ask(b"\r\n".join([first, *spelled]) + b"\r\n\r\n" + BODY))[0] == 200
-        ones, others = taken
+        ones, others = calls
         names = ("klass", "plan", "customer", "units", "width", "first_gateway", "repeat", "head", "body")
         assert [getattr(ones, name) for name in names] == [getattr(others, name) for name in names]
         assert ones.repeat
@@ -375,11 +379,11 @@
 
 
 @pytest.mark.parametrize("value", [b"0", b"11", b"1 1", b"", b"+1", b"1,1"])
-def test_what_is_not_one_marks_no_repeat(value: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_the_value_1_marks_a_repeated_request(value: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(bed: Bed) -> None:
-        taken = record_calls(bed, monkeypatch)
+        calls = record_calls(bed, monkeypatch)
         client = await bed.client()
         await client.ask(post(1, b"Content-Length: 5 \r\nX-Again: " + value, BODY))
-        assert not any(call.repeat for call in taken)
+        assert not any(call.repeat for call in calls)
 
     with_bed(test)
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -1,93 +1,93 @@
-"""Hold-ups of the event loop: when what is read after one may have come.
+"""Stalls of the event loop: the earliest time at which data read after one may have arrived.
 
-A gateway that was stopped twice in a row told a backend more time than its client had left (seed 229 of the
-soak: 0.906 s with 0.483 s left). Between the stops the loop may run its look and read nothing. The look was
-taken for a sign that all was read, so what came in the first stop counted as come after it, and no look
-tells of a second stop of up to 0.15 s.
+Guards against sending a backend a longer budget than its client has left, after two stalls in a row (seed 229
+of the soak: 0.906 s sent with 0.483 s left). Between the stalls the loop may run its periodic check and read
+nothing. If that check counts as proof that everything was read, data of the first stall seems to be newer
+than it is, and a second stall of up to 0.15 s makes no check late enough to show.
 """
 
 from __future__ import annotations
 
 import pytest
 
-from embersill.net.hold_ups import STALL_THRESHOLD, CHECK_INTERVAL, LoopStalls
+from embersill.net.hold_ups import CHECK_INTERVAL, STALL_THRESHOLD, LoopStalls
 
-BEGAN = 100.0
-STOPPED = 0.15  # seconds
+STARTED_AT = 100.0  # seconds of the monotonic clock
+STALL = 0.15  # seconds
 
 
-def stopped_once() -> LoopStalls:
-    """Awake at the moment BEGAN, stopped right then, and its look alone run behind the stop."""
-    made = LoopStalls(BEGAN)
-    made.record_check(BEGAN + CHECK_INTERVAL + STOPPED)
-    return made
+def stalled_once() -> LoopStalls:
+    """A loop that stalls from STARTED_AT on, and then runs its check without reading anything."""
+    stalls = LoopStalls(STARTED_AT)
+    stalls.record_check(STARTED_AT + CHECK_INTERVAL + STALL)
+    return stalls
 
 
-def test_what_is_read_in_time_came_now() -> None:
-    made = LoopStalls(BEGAN)
-    assert made.earliest_arrival(BEGAN + 0.01) == BEGAN + 0.01
-    assert made.record_check(BEGAN + CHECK_INTERVAL) == pytest.approx(0.0)
-    assert made.earliest_arrival(BEGAN + CHECK_INTERVAL + 0.01) == BEGAN + CHECK_INTERVAL + 0.01
+def test_data_read_without_a_stall_arrived_now() -> None:
+    stalls = LoopStalls(STARTED_AT)
+    assert stalls.earliest_arrival(STARTED_AT + 0.01) == STARTED_AT + 0.01
+    assert stalls.record_check(STARTED_AT + CHECK_INTERVAL) == pytest.approx(0.0)
+    assert stalls.earliest_arrival(STARTED_AT + CHECK_INTERVAL + 0.01) == STARTED_AT + CHECK_INTERVAL + 0.01
 
 
-def test_what_is_read_before_an_overdue_look_came_since_the_look_before_the_last() -> None:
-    """Also where something was read since: its event may have been polled before the stop."""
-    made = LoopStalls(BEGAN)
-    made.record_check(BEGAN + CHECK_INTERVAL)
-    made.earliest_arrival(BEGAN + CHECK_INTERVAL + 0.03)
-    assert made.earliest_arrival(BEGAN + 2 * CHECK_INTERVAL + STALL_THRESHOLD + 0.01) == BEGAN
+def test_data_read_before_an_overdue_check_may_be_as_old_as_the_previous_check() -> None:
+    """Even if something was read since then: its event may have been polled before the stall."""
+    stalls = LoopStalls(STARTED_AT)
+    stalls.record_check(STARTED_AT + CHECK_INTERVAL)
+    stalls.earliest_arrival(STARTED_AT + CHECK_INTERVAL + 0.03)
+    assert stalls.earliest_arrival(STARTED_AT + 2 * CHECK_INTERVAL + STALL_THRESHOLD + 0.01) == STARTED_AT
 
 
-@pytest.mark.parametrize("second", [0.15, 0.3, 0.6])
-def test_a_read_between_two_stops_is_no_sign_that_all_was_read(second: float) -> None:
-    """A look and one read, of what had been polled before the first stop, and then the second stop."""
-    made = stopped_once()
-    awake = BEGAN + CHECK_INTERVAL + STOPPED
-    made.earliest_arrival(awake + 0.001)
-    came = BEGAN + 0.01  # in the first stop
-    assert made.earliest_arrival(awake + 0.002 + second) <= came
+@pytest.mark.parametrize("second_stall", [0.15, 0.3, 0.6])
+def test_a_read_between_two_stalls_does_not_prove_that_all_was_read(second_stall: float) -> None:
+    """A check, a read of data that was polled before the first stall, and then the second stall."""
+    stalls = stalled_once()
+    resumed_at = STARTED_AT + CHECK_INTERVAL + STALL
+    stalls.earliest_arrival(resumed_at + 0.001)
+    arrived_at = STARTED_AT + 0.01  # in the first stall
+    assert stalls.earliest_arrival(resumed_at + 0.002 + second_stall) <= arrived_at
 
 
-def test_what_is_read_after_a_late_look_came_since_the_hold_up_began() -> None:
-    assert stopped_once().earliest_arrival(BEGAN + CHECK_INTERVAL + STOPPED + 0.01) == BEGAN
+def test_data_read_after_a_late_check_may_be_as_old_as_the_stall() -> None:
+    assert stalled_once().earliest_arrival(STARTED_AT + CHECK_INTERVAL + STALL + 0.01) == STARTED_AT
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.001, 0.01])
-@pytest.mark.parametrize("second", [0.05, 0.1, 0.14, 0.15, 0.3, 0.6])
-def test_a_second_stop_before_anything_was_read_counts_from_the_first(second: float, gap: float) -> None:
-    made = stopped_once()
-    read_at = BEGAN + CHECK_INTERVAL + STOPPED + gap + second
-    came = BEGAN + 0.01  # in the first stop
-    # what is beyond the 0.15 s that a backend may be told too much
-    assert made.earliest_arrival(read_at) - came <= CHECK_INTERVAL + STALL_THRESHOLD + gap
+@pytest.mark.parametrize("second_stall", [0.05, 0.1, 0.14, 0.15, 0.3, 0.6])
+def test_a_second_stall_before_any_read_counts_from_the_first(second_stall: float, gap: float) -> None:
+    stalls = stalled_once()
+    read_at = STARTED_AT + CHECK_INTERVAL + STALL + gap + second_stall
+    arrived_at = STARTED_AT + 0.01  # in the first stall
+    # A backend may be sent up to 0.15 s too much.
+    assert stalls.earliest_arrival(read_at) - arrived_at <= CHECK_INTERVAL + STALL_THRESHOLD + gap
 
 
-@pytest.mark.parametrize("stop", [0.13, 0.15, 0.3])
-def test_a_short_stop_and_a_second_before_anything_was_read(stop: float) -> None:
-    """The first begins right behind a look, so that the next is hardly late."""
-    made = LoopStalls(BEGAN)
-    made.record_check(BEGAN + stop)
-    came, read_at = BEGAN + 0.001, BEGAN + stop + 0.14
-    assert made.earliest_arrival(read_at) - came <= CHECK_INTERVAL + STALL_THRESHOLD
+@pytest.mark.parametrize("stall", [0.13, 0.15, 0.3])
+def test_a_short_stall_and_a_second_one_before_any_read(stall: float) -> None:
+    """The first starts right after a check, so that the next check is hardly late."""
+    stalls = LoopStalls(STARTED_AT)
+    stalls.record_check(STARTED_AT + stall)
+    arrived_at, read_at = STARTED_AT + 0.001, STARTED_AT + stall + 0.14
+    assert stalls.earliest_arrival(read_at) - arrived_at <= CHECK_INTERVAL + STALL_THRESHOLD
 
 
-def test_all_that_is_read_at_one_go_counts_alike() -> None:
-    made = stopped_once()
-    read_at = BEGAN + CHECK_INTERVAL + STOPPED + 0.3
-    assert [made.earliest_arrival(read_at + 0.01 * n) for n in range(4)] == [BEGAN] * 4
+def test_all_data_read_in_a_row_has_the_same_earliest_arrival() -> None:
+    stalls = stalled_once()
+    read_at = STARTED_AT + CHECK_INTERVAL + STALL + 0.3
+    assert [stalls.earliest_arrival(read_at + 0.01 * n) for n in range(4)] == [STARTED_AT] * 4
 
 
-def test_what_was_read_between_looks_is_no_part_of_later_hold_ups() -> None:
-    """Each look is late, and the loop reads behind each: the last stop alone counts."""
-    made, now = LoopStalls(BEGAN), BEGAN
+def test_data_read_between_checks_does_not_belong_to_later_stalls() -> None:
+    """Every check is late and followed by a read, so that only the last stall counts."""
+    stalls, now = LoopStalls(STARTED_AT), STARTED_AT
     for _ in range(5):
-        before, now = now, now + CHECK_INTERVAL + STOPPED
-        made.record_check(now)
-        assert made.earliest_arrival(now + 0.001) == before
+        previous, now = now, now + CHECK_INTERVAL + STALL
+        stalls.record_check(now)
+        assert stalls.earliest_arrival(now + 0.001) == previous
 
 
-def test_a_hold_up_is_over_with_the_next_look_in_time() -> None:
-    made = stopped_once()
-    looked = BEGAN + 2 * CHECK_INTERVAL + STOPPED
-    made.record_check(looked)
-    assert made.earliest_arrival(looked + 0.01) == looked + 0.01
+def test_a_stall_ends_with_the_next_check_in_time() -> None:
+    stalls = stalled_once()
+    checked_at = STARTED_AT + 2 * CHECK_INTERVAL + STALL
+    stalls.record_check(checked_at)
+    assert stalls.earliest_arrival(checked_at + 0.01) == checked_at + 0.01
