--- a/tests/framing_model.py
+++ b/tests/framing_model.py
@@ -402,7 +402,7 @@
 
 
 @dataclass(frozen=True)
-class AttemptResult:
+class AttemptRecord:
     """The result of an attempt, and the number of its connection."""
 
     answer: Answer
@@ -420,7 +420,7 @@
         self.address = (host, int(port))
         self.turn = asyncio.Semaphore(CONNECTIONS // 4)
 
-    async def attempt(self, backend: str, call_id: str) -> AttemptResult:
+    async def attempt(self, backend: str, call_id: str) -> AttemptRecord:
         """Makes an attempt and waits for its end."""
         ended: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         sink = BodySink()
@@ -432,9 +432,9 @@
         ))
         answer = await ended
         connection = self.peer.arrivals[call_id][0].connection if call_id in self.peer.arrivals else 0
-        return AttemptResult(answer, sink.data + answer.body, connection)
+        return AttemptRecord(answer, sink.data + answer.body, connection)
 
-    async def ask_twice(self, delivery: Delivery) -> tuple[AttemptResult, AttemptResult]:
+    async def ask_twice(self, delivery: Delivery) -> tuple[AttemptRecord, AttemptRecord]:
         """Makes an attempt that gets this delivery, and one after it that gets a valid answer."""
         async with self.turn:
             self.cases += 1
@@ -445,7 +445,7 @@
             self.dialer.pool.drop_idle(backend)
             return results
 
-    async def ask_all(self, deliveries: Sequence[Delivery]) -> list[tuple[AttemptResult, AttemptResult]]:
+    async def ask_all(self, deliveries: Sequence[Delivery]) -> list[tuple[AttemptRecord, AttemptRecord]]:
         """The results for each delivery, checked against the reference reader."""
         results = await asyncio.gather(*(self.ask_twice(delivery) for delivery in deliveries))
         for delivery, (first, second) in zip(deliveries, results, strict=True):
@@ -469,7 +469,7 @@
     return outcomes
 
 
-def check(delivery: Delivery, first: AttemptResult, second: AttemptResult) -> None:
+def check(delivery: Delivery, first: AttemptRecord, second: AttemptRecord) -> None:
     """Checks the results of an attempt that got this delivery, and of the one after it."""
     answer, outcome = read_answer(delivery.wire, delivery.end), first.answer.outcome
     assert outcome in expected_outcomes(answer, delivery.end), (delivery, answer)
--- a/tests/test_framing_answers.py
+++ b/tests/test_framing_answers.py
@@ -15,7 +15,7 @@
 from tests.bed import Bed, Client, request, running, with_bed
 from tests.bed import run as run_bounded
 from tests.framing_model import (
-    AttemptResult, Delivery, End, RawBackend, State, byte_by_byte, deliver, read_answer, running_attempts,
+    AttemptRecord, Delivery, End, RawBackend, State, byte_by_byte, deliver, read_answer, running_attempts,
     split_at, unsplit,
 )
 from tests.peers import SOON, DiscoveryPeer, entry
@@ -188,9 +188,9 @@
 each_valid_answer = pytest.mark.parametrize("wire", VALID_ANSWERS, ids=VALID_IDS)
 
 
-def ask_all(deliveries: Sequence[Delivery]) -> list[tuple[AttemptResult, AttemptResult]]:
+def ask_all(deliveries: Sequence[Delivery]) -> list[tuple[AttemptRecord, AttemptRecord]]:
     """Runs a pair of attempts for each delivery and checks the results against the reference reader."""
-    results: list[tuple[AttemptResult, AttemptResult]] = []
+    results: list[tuple[AttemptRecord, AttemptRecord]] = []
 
     async def test() -> None:
         async with running_attempts() as runner:
@@ -200,7 +200,7 @@
     return results
 
 
-def first_outcomes(results: list[tuple[AttemptResult, AttemptResult]]) -> set[Outcome]:
+def first_outcomes(results: list[tuple[AttemptRecord, AttemptRecord]]) -> set[Outcome]:
     return {first.answer.outcome for first, _ in results}
 
 
