--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -21,7 +21,7 @@
 from embersill.interface import ListKind, Settings
 from embersill.net.backends import Dialer
 from embersill.net.clients import BACKLOG, Front
-from embersill.net.console import MOST_CALLERS, Console, Refused
+from embersill.net.console import MAX_CONSOLE_CONNECTIONS, Console, CommandRejected
 from embersill.net.counter import Counter, CounterClient
 from embersill.net.discovery import LEAST_LIST, LIST_COST, MOST_LIST, Discovery
 from embersill.net.driver import Driver
@@ -36,31 +36,31 @@
 if TYPE_CHECKING:
     from embersill.net.aggregation import AggregatorRouter
 
-RESERVE = 48 + MOST_CALLERS  # descriptors kept for the listeners, discovery, the counter, the console's
+RESERVED_DESCRIPTORS = 48 + MAX_CONSOLE_CONNECTIONS  # descriptors kept for the listeners, discovery, the counter, the console's
 # callers, and what the run-time itself needs
-RESERVE_PART = 0.25  # of the descriptors, at most, that this may be
-AGGREGATOR_SOCKETS = 64  # descriptors kept besides for aggregators and their list, where these are configured
-AGGREGATOR_PART = 0.125  # of the descriptors, at most, that these may be
-UNPLANNED_PART = 0.25  # of the reserve for aggregators that a running gateway is told of: no other is free
-LEAST_SOCKETS = 32  # with fewer there is nothing left to serve with
-CLIENTS_PART = 0.6  # of the other descriptors: held requests need none at the backends' side
+MAX_RESERVED_SHARE = 0.25  # of the descriptors, at most, that this may be
+MAX_AGGREGATOR_SOCKETS = 64  # descriptors kept besides for aggregators and their list, where these are configured
+MAX_AGGREGATOR_SHARE = 0.125  # of the descriptors, at most, that these may be
+LATE_AGGREGATOR_SHARE = 0.25  # of the reserve for aggregators that a running gateway is told of: no other is free
+MIN_SOCKETS = 32  # with fewer there is nothing left to serve with
+CLIENT_SHARE = 0.6  # of the other descriptors: held requests need none at the backends' side
 MB = 1024 * 1024
-LEAST_MEMORY = 32  # MB, where the configuration does not tell
+DEFAULT_MEMORY_MB = 32  # MB, where the configuration does not tell
 BASE_MEMORY = 20 * MB  # what the run-time and the program hold without any traffic, and a little
-BODIES_PART = 0.5  # of the rest that bodies on their way may fill, with all clients at it, both ways
-LEAST_SHARE, MOST_SHARE = 8 * 1024, 64 * 1024  # bytes that may wait for a peer
-FIRST_LIST_WITHIN = 0.3  # seconds to wait for discovery's own word before the remembered list must do
-STILL_COMING = 0.5  # seconds after SIGTERM in which clients still connect, by the protocol, and a little
-KILL_AFTER, LONGEST_COUNTED = 0.7, 3.0  # SIGKILL follows SIGTERM no sooner than the longest deadline, counted
+BODY_MEMORY_SHARE = 0.5  # of the rest that bodies on their way may fill, with all clients at it, both ways
+MIN_BUFFER_SIZE, MAX_BUFFER_SIZE = 8 * 1024, 64 * 1024  # bytes that may wait for a peer
+FIRST_LIST_TIMEOUT = 0.3  # seconds to wait for discovery's own word before the remembered list must do
+ACCEPT_AFTER_SIGTERM = 0.5  # seconds after SIGTERM in which clients still connect, by the protocol, and a little
+KILL_DELAY, MAX_COUNTED_DEADLINE = 0.7, 3.0  # SIGKILL follows SIGTERM no sooner than the longest deadline, counted
 # as 3 s where it is longer, and 0.7 s more
-BEFORE_KILL = 0.3  # seconds before that by which all is answered
-LAME_DUCK = 5.0  # seconds of it, where the configuration does not tell: fronts notice in some four
-LAST_WORD = 30.0  # seconds after a drain for which the console is there to tell that nothing is open
-LAST_WORD_HANDED = 1.0  # and to tell where a lame duck's successor is: an upgrade's kill may be near
-DRAINED_WITHIN = 600.0  # seconds that a drain may wait for what runs: a body of 32 MB at 64 kB a second
-CLOSE_EVERY = 0.02  # seconds between looks for connections that fell idle
-LAST_READ = 0.15  # seconds in which the last connections taken in bring what was already sent on them
-LAST_BYTES = 0.25  # seconds for clients to take what was written to them
+KILL_MARGIN = 0.3  # seconds before that by which all is answered
+DEFAULT_LAME_DUCK_TIME = 5.0  # seconds of it, where the configuration does not tell: fronts notice in some four
+CONSOLE_LINGER = 30.0  # seconds after a drain for which the console is there to tell that nothing is open
+CONSOLE_LINGER_HANDED_OVER = 1.0  # and to tell where a lame duck's successor is: an upgrade's kill may be near
+DRAIN_TIMEOUT = 600.0  # seconds that a drain may wait for what runs: a body of 32 MB at 64 kB a second
+CLOSE_POLL_INTERVAL = 0.02  # seconds between looks for connections that fell idle
+FINAL_READ_TIME = 0.15  # seconds in which the last connections taken in bring what was already sent on them
+FINAL_WRITE_TIMEOUT = 0.25  # seconds for clients to take what was written to them
 
 
 log = logging.getLogger("embersill")
@@ -83,8 +83,8 @@
     known: Listing
     settings: Settings
     limits: Limits
-    lame_duck: float  # seconds between a drain's begin and the end of taking requests
-    folder: str | None  # private to this gateway: a process that ran before may have left something there
+    lame_duck_time: float  # seconds between a drain's begin and the end of taking requests
+    state_directory: str | None  # private to this gateway: a process that ran before may have left something there
     aggregators: tuple[Address, ...] = ()  # the list service of the aggregators, if there are any
 
 
@@ -113,18 +113,18 @@
     console = environ.get("RELAY_CONSOLE") or told.get("console")
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     sockets = min(int(told["limits"]["sockets"]), soft)
-    if sockets < LEAST_SOCKETS:
-        raise ValueError(f"limits: sockets is below {LEAST_SOCKETS}")
+    if sockets < MIN_SOCKETS:
+        raise ValueError(f"limits: sockets is below {MIN_SOCKETS}")
     return Configuration(
         name=str(environ.get("RELAY_NAME") or told["name"]),
         listen=read_address(environ.get("RELAY_LISTEN") or told["listen"]),
         discovery=read_addresses(environ.get("RELAY_DISCOVERY") or told["discovery"]),
         counter=counter, console=read_address(console) if console else None,
         seed=int(told["seed"], 16), sockets=sockets,
-        memory_mb=float(told["limits"].get("memory_mb", LEAST_MEMORY)),
+        memory_mb=float(told["limits"].get("memory_mb", DEFAULT_MEMORY_MB)),
         known=read_listing(told["known"], ListKind.CACHED), settings=settings,
-        limits=read_limits(told["settings"]), lame_duck=read_lame_duck(told),
-        folder=environ.get("TMPDIR") or None, aggregators=read_aggregators(settings),
+        limits=read_limits(told["settings"]), lame_duck_time=read_lame_duck(told),
+        state_directory=environ.get("TMPDIR") or None, aggregators=read_aggregators(settings),
     )
 
 
@@ -138,7 +138,7 @@
 
 
 def read_lame_duck(told: dict[str, Any]) -> float:
-    value = told.get("lame_duck_s", LAME_DUCK)
+    value = told.get("lame_duck_s", DEFAULT_LAME_DUCK_TIME)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= 3600:
         raise ValueError("lame_duck_s is no number of seconds up to an hour")
     return float(value)
@@ -157,13 +157,13 @@
     def __init__(self, told: Configuration) -> None:
         clock = start_clock()
         self.loop = asyncio.get_running_loop()
-        reserve = min(RESERVE, int(told.sockets * RESERVE_PART))
-        self.aggregator_sockets = int(reserve * UNPLANNED_PART)
+        reserve = min(RESERVED_DESCRIPTORS, int(told.sockets * MAX_RESERVED_SHARE))
+        self.aggregator_sockets = int(reserve * LATE_AGGREGATOR_SHARE)
         free = told.sockets - reserve
         if told.aggregators:
-            self.aggregator_sockets = min(AGGREGATOR_SOCKETS, int(told.sockets * AGGREGATOR_PART))
+            self.aggregator_sockets = min(MAX_AGGREGATOR_SOCKETS, int(told.sockets * MAX_AGGREGATOR_SHARE))
             free -= self.aggregator_sockets
-        clients = int(free * CLIENTS_PART)
+        clients = int(free * CLIENT_SHARE)
         self.dialer = Dialer(
             clock, told.limits.dial_timeout, told.limits.keepalive, free - clients, told.settings.pool,
             told.seed)
@@ -171,10 +171,10 @@
         self.driver.use_trace(make_trace(os.environ, clock))
         self.aggregators = told.aggregators
         self.driver.counter = self.make_counter(told)
-        self.driver.list_told(told.known)
+        self.driver.on_list(told.known)
         version = told.known.generation if told.known.entries else None
         self.discovery = Discovery(
-            told.discovery, told.limits.dial_timeout, self.driver.list_told, version, told.seed,
+            told.discovery, told.limits.dial_timeout, self.driver.on_list, version, told.seed,
             told.settings.gateways, told.limits.grace if told.settings.list_pushed else None,
             told.known.entries)
         if len(told.known.entries) > SLICE:
@@ -184,24 +184,24 @@
         self.discovery.most_list = int(min(max(memory / LIST_COST, LEAST_LIST), MOST_LIST))
         if len(told.discovery) > 1:
             self.driver.list_age = self.discovery.age
-        room = memory * BODIES_PART / (2 * clients)
-        share = int(min(max(room, LEAST_SHARE), MOST_SHARE))
-        self.front = Front(self.driver, told.settings, clock, clients, self.serves, share)
-        self.stopped = asyncio.Event()  # it is to end, by a signal or at the end of a lame duck's time
-        self.duck = LameDuck(clock, self.front, self.stopped.set)
-        self.handover = Handover(told.folder, self.driver, self.front, self.duck)
-        longest = max((c.deadline for c in told.settings.classes), default=LONGEST_COUNTED)
-        self.all_answered = min(longest, LONGEST_COUNTED) + KILL_AFTER - BEFORE_KILL
-        self.listen, self.console_at = told.listen, told.console
+        room = memory * BODY_MEMORY_SHARE / (2 * clients)
+        share = int(min(max(room, MIN_BUFFER_SIZE), MAX_BUFFER_SIZE))
+        self.front = Front(self.driver, told.settings, clock, clients, self.can_serve, share)
+        self.stop_requested = asyncio.Event()  # it is to end, by a signal or at the end of a lame duck's time
+        self.lame_duck = LameDuck(clock, self.front, self.stop_requested.set)
+        self.handover = Handover(told.state_directory, self.driver, self.front, self.lame_duck)
+        longest = max((c.deadline for c in told.settings.classes), default=MAX_COUNTED_DEADLINE)
+        self.stop_timeout = min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN
+        self.listen_address, self.console_address = told.listen, told.console
         self.console = Console({
             "STATUS": self.status, "METRICS": self.metrics, "SUSPEND": self.suspend, "RESTORE": self.restore,
-            "OUT": self.out, "PHASE": self.phase_now, "DRAIN": self.drain, "SERVE": self.serve_again})
-        self.lame_duck, self.started = told.lame_duck, clock()
-        self.empty = False  # nothing is open any more, and only the console is left
-        self.signalled = asyncio.Event()
-        self.heard_last = asyncio.Event()  # staff were told that nothing is open any more, or of a successor
-        self.following: asyncio.Task[None] | None = None
-        self.settled = False  # the list is discovery's own, or as good as can be had
+            "OUT": self.report_in_flight, "PHASE": self.report_phase, "DRAIN": self.drain, "SERVE": self.end_lame_duck})
+        self.lame_duck_time, self.started_at = told.lame_duck_time, clock()
+        self.finished = False  # nothing is open any more, and only the console is left
+        self.signal_received = asyncio.Event()
+        self.final_state_reported = asyncio.Event()  # staff were told that nothing is open any more, or of a successor
+        self.discovery_task: asyncio.Task[None] | None = None
+        self.list_settled = False  # the list is discovery's own, or as good as can be had
 
     def make_counter(self, told: Configuration) -> CounterClient | None:
         """What makes the counter calls: over aggregators where these are configured."""
@@ -209,161 +209,161 @@
         if told.counter is None:
             return None
         if not told.aggregators:
-            return Counter(clock, told.counter, patience, dial, self.driver.counter_told)
+            return Counter(clock, told.counter, patience, dial, self.driver.on_counter_call_ended)
         from embersill.net.aggregation import AggregatorRouter  # loaded only where it is used
         return AggregatorRouter(
-            clock, told.aggregators, patience, dial, self.driver.counter_told, self.aggregator_sockets,
+            clock, told.aggregators, patience, dial, self.driver.on_counter_call_ended, self.aggregator_sockets,
             told.seed, told.settings.gateways)
 
-    def serves(self) -> bool:
-        return self.settled and bool(self.driver.serving)
+    def can_serve(self) -> bool:
+        return self.list_settled and bool(self.driver.serving)
 
     # what the console is asked
 
     async def status(self, words: list[str]) -> str:
-        without_id(words)
-        left = self.duck.left()
+        expect_no_arguments(words)
+        left = self.lame_duck.remaining()
         if left is not None and not self.front.stopping:
-            raise Refused(f"a lame duck, which ends in {left:.1f} s")
+            raise CommandRejected(f"a lame duck, which ends in {left:.1f} s")
         if not self.front.is_ready():
-            raise Refused("stopping" if self.front.stopping else "not ready to serve")
-        self.not_handed_over()
+            raise CommandRejected("stopping" if self.front.stopping else "not ready to serve")
+        self.reject_if_handed_over()
         return "done ready to serve"
 
     async def metrics(self, words: list[str]) -> str:
-        without_id(words)
+        expect_no_arguments(words)
         return f"{self.driver.metrics()}\nend"
 
     async def suspend(self, words: list[str]) -> str:
-        backend = only_id(words)
+        backend = expect_backend_id(words)
         if not self.driver.suspend(backend):
-            raise Refused(f"{backend} was never listed")
-        await self.handover.banned("suspend", backend)
+            raise CommandRejected(f"{backend} was never listed")
+        await self.handover.share_suspension("suspend", backend)
         log.info("%s is taken out by hand", backend)
         return f"done {backend} is taken out"
 
     async def restore(self, words: list[str]) -> str:
-        backend = only_id(words)
+        backend = expect_backend_id(words)
         if not self.driver.restore(backend):
-            raise Refused(f"{backend} was never listed")
-        await self.handover.banned("restore", backend)
+            raise CommandRejected(f"{backend} was never listed")
+        await self.handover.share_suspension("restore", backend)
         log.info("%s may serve again", backend)
         return f"done {backend} may serve again"
 
-    async def out(self, words: list[str]) -> str:
-        backend = only_id(words)
-        told = {"state": self.driver.standing(backend), "out": self.driver.out(backend),
+    async def report_in_flight(self, words: list[str]) -> str:
+        backend = expect_backend_id(words)
+        told = {"state": self.driver.backend_state(backend), "out": self.driver.attempts_in_flight(backend),
                 "list": self.discovery.newest}
-        return self.done(told)
+        return self.format_done(told)
 
-    def done(self, told: dict[str, Any]) -> str:
+    def format_done(self, told: dict[str, Any]) -> str:
         """An answer of one JSON object; staff go on to the successor that it names."""
-        if self.handover.successor:
-            told["successor"] = self.handover.successor
+        if self.handover.successor_console:
+            told["successor"] = self.handover.successor_console
         return f"done {json.dumps(told)}"
 
     def phase(self) -> str:
-        if self.handover.gave:
+        if self.handover.handed_over:
             return "handed over"
         if self.front.stopping:
-            return "empty" if self.empty else "closing"
-        return "serving" if self.duck.until is None else "lame duck"
-
-    async def phase_now(self, words: list[str]) -> str:
-        without_id(words)
-        if self.empty or self.handover.gave:
-            self.heard_last.set()
-        return self.done({
+            return "empty" if self.finished else "closing"
+        return "serving" if self.lame_duck.ends_at is None else "lame duck"
+
+    async def report_phase(self, words: list[str]) -> str:
+        expect_no_arguments(words)
+        if self.finished or self.handover.handed_over:
+            self.final_state_reported.set()
+        return self.format_done({
             "phase": self.phase(), "open": self.driver.unanswered, "ready": self.front.is_ready(),
-            "clients": len(self.front.connections), "started": self.started})
+            "clients": len(self.front.connections), "started": self.started_at})
 
     async def drain(self, words: list[str]) -> str:
         """Begins a lame duck's time, once: it may be said again."""
-        without_id(words)
-        self.not_handed_over()
-        if self.phase() == "serving" and not self.stopped.is_set():
-            self.duck.set(self.lame_duck)
-            self.handover.tell_duck()
-            log.info("a lame duck for %.1f s, then it ends", self.lame_duck)
-        return await self.phase_now([])
-
-    async def serve_again(self, words: list[str]) -> str:
-        without_id(words)
-        self.not_handed_over()
-        if self.stopped.is_set():
-            raise Refused("it is too late, the process ends")
-        if self.duck.until is not None:
-            self.duck.set(None)
-            self.handover.tell_duck()
+        expect_no_arguments(words)
+        self.reject_if_handed_over()
+        if self.phase() == "serving" and not self.stop_requested.is_set():
+            self.lame_duck.set(self.lame_duck_time)
+            self.handover.send_lame_duck()
+            log.info("a lame duck for %.1f s, then it ends", self.lame_duck_time)
+        return await self.report_phase([])
+
+    async def end_lame_duck(self, words: list[str]) -> str:
+        expect_no_arguments(words)
+        self.reject_if_handed_over()
+        if self.stop_requested.is_set():
+            raise CommandRejected("it is too late, the process ends")
+        if self.lame_duck.ends_at is not None:
+            self.lame_duck.set(None)
+            self.handover.send_lame_duck()
             log.info("no lame duck any more")
-        return await self.phase_now([])
+        return await self.report_phase([])
 
-    def not_handed_over(self) -> None:
-        if self.handover.gave:
-            raise Refused(f"handed over to a successor {self.handover.successor}".rstrip())
+    def reject_if_handed_over(self) -> None:
+        if self.handover.handed_over:
+            raise CommandRejected(f"handed over to a successor {self.handover.successor_console}".rstrip())
 
-    def end(self) -> None:
-        self.signalled.set()
-        self.stopped.set()
+    def request_stop(self) -> None:
+        self.signal_received.set()
+        self.stop_requested.set()
 
     async def run(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.end)
+            self.loop.add_signal_handler(number, self.request_stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.start()
         gc.freeze()  # what start-up made stays: no need to look through it again
-        await self.stopped.wait()
+        await self.stop_requested.wait()
         await self.stop()
 
-    async def wait_to_the_end(self, at_most: float, signal_ends: bool = False) -> None:
+    async def wait_until_idle(self, at_most: float, signal_ends: bool = False) -> None:
         """Waits until all is answered and each connection was closed as it fell idle.
 
         One on which something has come is read first, so that no request is crossed.
         """
         end = self.driver.clock() + at_most
         while not self.front.close_unasked() or self.driver.unanswered:
-            if signal_ends and self.signalled.is_set() or self.driver.clock() >= end:
+            if signal_ends and self.signal_received.is_set() or self.driver.clock() >= end:
                 return
-            await asyncio.sleep(CLOSE_EVERY)
+            await asyncio.sleep(CLOSE_POLL_INTERVAL)
 
-    async def last_word(self) -> None:
+    async def linger(self) -> None:
         """After a drain staff hear that nothing is open, or of the successor that goes on with it.
 
         A console that is only gone could be a crash's.
         """
-        handed = self.handover.gave
-        if self.duck.until is None or self.signalled.is_set() and not handed:
+        handed = self.handover.handed_over
+        if self.lame_duck.ends_at is None or self.signal_received.is_set() and not handed:
             return
-        events = (self.heard_last,) if handed else (self.signalled, self.heard_last)
+        events = (self.final_state_reported,) if handed else (self.signal_received, self.final_state_reported)
         waits = [self.loop.create_task(event.wait()) for event in events]
-        within = LAST_WORD_HANDED if handed else LAST_WORD
+        within = CONSOLE_LINGER_HANDED_OVER if handed else CONSOLE_LINGER
         await asyncio.wait(waits, timeout=within, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        await asyncio.sleep(LAST_READ)  # for the answer to go out
+        await asyncio.sleep(FINAL_READ_TIME)  # for the answer to go out
 
     async def listen_for_clients(self) -> None:
         """Begins to accept at the clients' address; OSError where it can't be had."""
-        self.front.listen_on(await open_listener(self.listen, BACKLOG, share_port=True))
+        self.front.listen_on(await open_listener(self.listen_address, BACKLOG, share_port=True))
 
     async def start(self) -> None:
-        if self.console_at is not None:
-            self.handover.console = await self.console.listen(self.console_at)
-        succeeds = self.handover.find()
+        if self.console_address is not None:
+            self.handover.console_address = await self.console.listen(self.console_address)
+        succeeds = self.handover.connect_to_predecessor()
         if not succeeds:
             await self.listen_for_clients()
-        self.following = self.loop.create_task(self.discovery.run())
+        self.discovery_task = self.loop.create_task(self.discovery.run())
         try:
-            async with asyncio.timeout(FIRST_LIST_WITHIN):
+            async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self.discovery.heard.wait()
         except TimeoutError:
             pass
         if not succeeds or not await self.handover.take_over():
-            self.handover.remember_bans()
+            self.handover.restore_suspensions()
             if succeeds:
                 await self.listen_for_clients()
-        self.handover.open()
-        self.settled = True
+        self.handover.listen()
+        self.list_settled = True
 
     def reload(self) -> None:
         """Takes over where discovery and the counter are now, and how connections are kept.
@@ -378,7 +378,7 @@
         log.info("discovery is at %s now", ",".join(f"{host}:{port}" for host, port in told.discovery))
         self.driver.list_age = self.discovery.age if len(told.discovery) > 1 else None
         self.discovery.move(told.discovery)
-        self.driver.tune(told.settings.pool, told.settings.aggregation)
+        self.driver.change_settings(told.settings.pool, told.settings.aggregation)
         self.move_counter(told)
         return None
 
@@ -396,56 +396,56 @@
         else:
             cast("AggregatorRouter", before).move(told.aggregators)
 
-    async def stop(self, still_coming: float = STILL_COMING, all_answered: float | None = None) -> None:
+    async def stop(self, still_coming: float = ACCEPT_AFTER_SIGTERM, all_answered: float | None = None) -> None:
         """Takes what still comes, answers all of it, and leaves nothing behind."""
         self.front.stopping = True
-        left = self.all_answered if all_answered is None else all_answered
-        drained = self.duck.until is not None  # no kill is due
+        left = self.stop_timeout if all_answered is None else all_answered
+        drained = self.lame_duck.ends_at is not None  # no kill is due
         if not drained:
-            self.driver.ends_at = self.driver.clock() + left
-        if self.handover.gave:
+            self.driver.stop_deadline = self.driver.clock() + left
+        if self.handover.handed_over:
             await self.front.wait_moved(left)
             await self.front.stop_listening()
         else:
             await asyncio.sleep(still_coming)
             await self.front.stop_listening()
-            await asyncio.sleep(LAST_READ)
-            left = max(left - still_coming - LAST_READ, 0.0)
+            await asyncio.sleep(FINAL_READ_TIME)
+            left = max(left - still_coming - FINAL_READ_TIME, 0.0)
             if drained:
-                await self.wait_to_the_end(DRAINED_WITHIN, signal_ends=True)
-                self.driver.ends_at = self.driver.clock() + left
-            await self.wait_to_the_end(self.driver.ends_at - self.driver.clock())
-        self.driver.ends_at = self.driver.clock()  # what is read from here on is refused
-        self.driver.rescue_all()
+                await self.wait_until_idle(DRAIN_TIMEOUT, signal_ends=True)
+                self.driver.stop_deadline = self.driver.clock() + left
+            await self.wait_until_idle(self.driver.stop_deadline - self.driver.clock())
+        self.driver.stop_deadline = self.driver.clock()  # what is read from here on is refused
+        self.driver.fail_all_unanswered()
         self.front.close_idle()
-        await asyncio.gather(self.front.wait_drained(LAST_BYTES), self.driver.settle(LAST_BYTES))
+        await asyncio.gather(self.front.wait_drained(FINAL_WRITE_TIMEOUT), self.driver.flush_counts(FINAL_WRITE_TIMEOUT))
         self.front.close()
-        if self.following is not None:
-            self.following.cancel()
+        if self.discovery_task is not None:
+            self.discovery_task.cancel()
             self.discovery.drop()
-        self.driver.report()
-        self.driver.reporter.cancel()
+        self.driver.log_figures()
+        self.driver.report_timer.cancel()
         self.dialer.close()
         if self.driver.counter is not None:
             self.driver.counter.close()
         self.handover.close()
-        self.empty = True
-        await self.last_word()
+        self.finished = True
+        await self.linger()
         self.console.close()
 
 
-def without_id(words: list[str]) -> None:
+def expect_no_arguments(words: list[str]) -> None:
     if words:
-        raise Refused("this call has nothing after its name")
+        raise CommandRejected("this call has nothing after its name")
 
 
-def only_id(words: list[str]) -> str:
+def expect_backend_id(words: list[str]) -> str:
     if len(words) != 1:
-        raise Refused("this call names one backend")
+        raise CommandRejected("this call names one backend")
     return words[0]
 
 
-async def serve(told: Configuration) -> None:
+async def run_program(told: Configuration) -> None:
     await Program(told).run()
 
 
@@ -457,7 +457,7 @@
         print(f"embersill: {error}", file=sys.stderr)
         return 2
     try:
-        uvloop.run(serve(told))
+        uvloop.run(run_program(told))
     except OSError as error:
         print(f"embersill: {error}", file=sys.stderr)
         return 1
--- a/embersill/lab/scale/hollow.py
+++ b/embersill/lab/scale/hollow.py
@@ -29,7 +29,7 @@
 from embersill.net.discovery import Discovery
 from embersill.net.list_feed import ListReader
 from embersill.net.listing import Address, Listing, parse_listing
-from embersill.net.driver import EARLY
+from embersill.net.driver import DEADLINE_MARGIN
 
 AGGREGATOR_CONNECTIONS = 64  # at a gateway at the most, as a real one keeps room for
 
@@ -203,7 +203,7 @@
         plan = self.deployment.plan_of(drawn.customer)
         self.post(Request(
             self.taken, drawn.klass, plan.name, customer_name(drawn.customer),
-            unix_time() + BUDGET_SECONDS - EARLY, 1.0, self.deployment.size.spread,
+            unix_time() + BUDGET_SECONDS - DEADLINE_MARGIN, 1.0, self.deployment.size.spread,
             int(self.deployment.first_gateways[drawn.customer]), False))
 
     def list_asked(self) -> None:
--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -21,7 +21,7 @@
 
 from embersill.interface import RepeatPolicy, Settings
 from embersill.net.bodies import MOST_BODY, READ, WHOLE, Upload, ended_unread, is_readable
-from embersill.net.driver import Call, Driver
+from embersill.net.driver import ClientRequest, Driver
 from embersill.net.framing import (
     HEAD_END, BadFraming, Framing, FramingFields, HeadNormalizer, UnknownCoding, blank_line_end,
 )
@@ -117,7 +117,7 @@
         self.gateways, self.most_units = settings.gateways, settings.max_units
 
     def read(self, received: float, method: bytes, target: bytes, headers: dict[bytes, bytes],
-             body: bytes, upload: Upload | None = None) -> Call:
+             body: bytes, upload: Upload | None = None) -> ClientRequest:
         customer = self.customer(target)
         klass = self.classes.get(self.needed(headers, b"x-call-class"))
         if klass is None:
@@ -133,9 +133,9 @@
         units, width, first = read_quota(self.needed(headers, b"quota-info"))
         if width > self.gateways or first >= self.gateways or units > self.most_units:
             raise BadRequest(400, "Quota-Info has more units or gateways than there are")
-        return Call(
-            received=received, budget=float(self.matched(headers, b"x-budget", BUDGET)), klass=klass.name,
-            plan=plan, customer=customer, units=units, width=width,
+        return ClientRequest(
+            received_at=received, budget=float(self.matched(headers, b"x-budget", BUDGET)), request_class=klass.name,
+            plan=plan, customer=customer, units=units, gateway_count=width,
             first_gateway=first, repeat=headers.get(b"x-again") == b"1",
             head=self.head(method, target, headers, klass.repeat_policy,
                            upload.header if upload is not None else b"Content-Length: %d" % len(body)),
@@ -360,7 +360,7 @@
         self.upload = upload
         self.uploader = Exchange(self, self.parser.should_keep_alive() and self.speaks_1_1)
         self.exchanges.append(self.uploader)
-        self.uploader.number = front.driver.take(call, self.uploader)
+        self.uploader.number = front.driver.accept_request(call, self.uploader)
 
     def is_uploading(self, exchange: Exchange) -> bool:
         return exchange is self.uploader and self.upload is not None and not self.upload.whole
@@ -393,7 +393,7 @@
             self.upload = self.uploader = None
             self.ended = not uploader.keep
             upload.end()
-            self.front.driver.uploaded(uploader.number)
+            self.front.driver.on_upload_completed(uploader.number)
             return
         keep = self.parser.should_keep_alive() and self.speaks_1_1 and not self.in_doubt
         exchange = Exchange(self, keep)
@@ -418,7 +418,7 @@
             front = self.front
             call = front.reader.read(self.arrived, method, self.target, self.headers, b"".join(self.body))
             self.served = True
-            exchange.number = front.driver.take(call, exchange)
+            exchange.number = front.driver.accept_request(call, exchange)
         elif path == b"/ready":
             if method != b"GET":
                 raise BadRequest(405, "only GET", b"Allow: GET\r\n")
@@ -515,7 +515,7 @@
             exchange = Exchange(self, False)
             self.exchanges.append(exchange)
         elif exchange.number and exchange.text is None:
-            self.front.driver.client_left(exchange.number)  # it never came whole
+            self.front.driver.on_client_disconnected(exchange.number)  # it never came whole
         exchange.keep = False
         exchange.answer(status, f"{text}\n".encode())
 
@@ -668,7 +668,7 @@
         exchanges, self.exchanges = self.exchanges, deque()
         for exchange in exchanges:
             if exchange.number and exchange.text is None and not exchange.done:
-                self.front.driver.client_left(exchange.number)
+                self.front.driver.on_client_disconnected(exchange.number)
 
     def left_unread(self) -> None:
         """Its end has come behind bytes that are not read for now."""
@@ -778,7 +778,7 @@
     def look(self) -> None:
         self.looker = self.loop.call_later(LOOK_EVERY, self.look)
         now = self.clock()
-        self.driver.loop_lag.note(self.hold_ups.note_look(now))
+        self.driver.loop_lag.record(self.hold_ups.note_look(now))
         for connection in list(self.connections):
             connection.hurry(now)
 
@@ -841,7 +841,7 @@
             except OSError as error:
                 failures += 1
                 if error.errno not in ENDED_UNACCEPTED or failures >= ACCEPT_FAILURES:
-                    self.driver.figures.others["accept failed"] += 1
+                    self.driver.figures.other_counts["accept failed"] += 1
                     return self.pause()
                 continue  # that client has gone again
             failures = 0
@@ -853,7 +853,7 @@
             await self.loop.connect_accepted_socket(lambda: ClientConnection(self, sock, before), sock)
         except OSError as error:  # a request may be on it: it is answered, and not only closed
             log.warning("a connection could not be set up: %s", error)
-            self.driver.figures.others["connection not set up"] += 1
+            self.driver.figures.other_counts["connection not set up"] += 1
             await self.turn_away(sock)
 
     async def turn_away(self, sock: socket.socket) -> None:
--- a/embersill/net/figures.py
+++ b/embersill/net/figures.py
@@ -6,28 +6,28 @@
 from collections import Counter as Tally
 from collections.abc import Iterable
 
-KINDS = ("success", "busy", "failure")
+RESULTS = ("success", "busy", "failure")
 
 
 class Figures:
     """Requests by how they ended and class, and whatever else ended, by its name."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.ended = {kind: dict.fromkeys(classes, 0) for kind in KINDS}
-        self.others: Tally[str] = Tally()  # attempts, counter calls, clients that left
-        self.told: Tally[str] = Tally()  # as of the last line in the log
+        self.requests_by_result = {kind: dict.fromkeys(classes, 0) for kind in RESULTS}
+        self.other_counts: Tally[str] = Tally()  # attempts, counter calls, clients that left
+        self.last_reported: Tally[str] = Tally()  # as of the last line in the log
 
-    def answered(self, status: int, klass: str) -> None:
+    def count_answer(self, status: int, klass: str) -> None:
         kind = "success" if status == 200 else "busy" if status in (429, 503) else "failure"
-        self.ended[kind][klass] += 1
+        self.requests_by_result[kind][klass] += 1
 
-    def since(self, more: Tally[str], others: Tally[str]) -> str:
+    def report_changes(self, more: Tally[str], others: Tally[str]) -> str:
         """What has come since it was last asked, in words, of `others` too; `more` is told along with it."""
-        totals = self.others + others + Tally({kind: sum(by.values()) for kind, by in self.ended.items()})
-        news = totals - self.told + more
-        self.told = totals
+        totals = self.other_counts + others + Tally({kind: sum(by.values()) for kind, by in self.requests_by_result.items()})
+        news = totals - self.last_reported + more
+        self.last_reported = totals
         return ", ".join(f"{name} {number}" for name, number in sorted(news.items()))
 
-    def text(self, **gauges: int) -> str:
+    def to_json(self, **gauges: int) -> str:
         """All of it as one JSON object, with what is measured at this moment."""
-        return json.dumps({**self.ended, **gauges}, separators=(",", ":"))
+        return json.dumps({**self.requests_by_result, **gauges}, separators=(",", ":"))
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -24,28 +24,28 @@
 from embersill.net.lameduck import LameDuck
 
 VERSION = 1  # of the messages and the file: a process of another one is taken for none at all
-LINK, STATE = "embersill.link", "embersill.state"
-MOST_MESSAGE = 4096  # bytes: an id of a backend is the longest part of one
-GIVEN_WITHIN = 1.5  # seconds for the predecessor to give its listener: the successor's yes is due in 6
-DONE_WITHIN = 0.5  # seconds to wait for the other process over a ban: the console's answer is due in 1
-CALLED_AGAIN = 0.05  # seconds until a caller is accepted again after that has failed
-SAVE_AGAIN = 0.5  # seconds until the state is written again after that has failed
-TELL_EVERY = 0.25  # seconds between the old process's words on what it still holds
+SOCKET_NAME, STATE_FILE_NAME = "embersill.link", "embersill.state"
+MAX_MESSAGE_SIZE = 4096  # bytes: an id of a backend is the longest part of one
+TAKE_OVER_TIMEOUT = 1.5  # seconds for the predecessor to give its listener: the successor's yes is due in 6
+CONFIRMATION_TIMEOUT = 0.5  # seconds to wait for the other process over a ban: the console's answer is due in 1
+ACCEPT_RETRY_DELAY = 0.05  # seconds until a caller is accepted again after that has failed
+SAVE_RETRY_DELAY = 0.5  # seconds until the state is written again after that has failed
+CONNECTION_COUNT_INTERVAL = 0.25  # seconds between the old process's words on what it still holds
 
 Message = dict[str, Any]
 
 log = logging.getLogger("embersill")
 
 
-class Link:
+class Channel:
     """One end of the talk between two processes."""
 
     def __init__(self, sock: socket.socket, told: Callable[[Message, list[int]], None],
                  ended: Callable[[], None]) -> None:
-        self.sock, self.told, self.ended = sock, told, ended
+        self.sock, self.on_message, self.on_closed = sock, told, ended
         self.loop = asyncio.get_running_loop()
         sock.setblocking(False)
-        self.loop.add_reader(sock, self.readable)
+        self.loop.add_reader(sock, self.on_readable)
 
     def send(self, message: Message, *descriptors: int) -> bool:
         """False where the other end has no room now, or is gone: then nothing of it was sent."""
@@ -59,10 +59,10 @@
             return False
         return True
 
-    def readable(self) -> None:
+    def on_readable(self) -> None:
         while self.sock.fileno() >= 0:
             try:
-                text, descriptors, _, _ = socket.recv_fds(self.sock, MOST_MESSAGE, 4)
+                text, descriptors, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_SIZE, 4)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -70,15 +70,15 @@
                 text, descriptors = b"", []
             if not text:
                 self.close()
-                return self.ended()
-            self.read(text, descriptors)
+                return self.on_closed()
+            self.handle_packet(text, descriptors)
 
-    def read(self, text: bytes, descriptors: list[int]) -> None:
+    def handle_packet(self, text: bytes, descriptors: list[int]) -> None:
         try:
             message = json.loads(text)
             if message["version"] != VERSION:
                 raise ValueError("another version")
-            self.told(message, descriptors)
+            self.on_message(message, descriptors)
         except (ValueError, LookupError, TypeError) as error:
             log.warning("a message of another process is not understood: %s", error)
             for descriptor in descriptors:
@@ -90,7 +90,7 @@
             self.sock.close()
 
 
-def open_folder(folder: str) -> int:
+def open_directory(folder: str) -> int:
     """By descriptor: a socket's path must be short, the folder's may be long; -1 where there is none."""
     try:
         return os.open(folder, os.O_DIRECTORY)
@@ -99,7 +99,7 @@
         return -1
 
 
-def state_text(state: Message) -> str:
+def serialize_state(state: Message) -> str:
     """With its version and a checksum."""
     text = json.dumps(state, separators=(",", ":"))
     return f"{VERSION} {zlib.crc32(text.encode())}\n{text}"
@@ -114,10 +114,10 @@
     return state if isinstance(state, dict) else {}
 
 
-def memory_file(text: str) -> int:
+def create_memory_file(text: str) -> int:
     """The descriptor of a file in memory, which a full disk does not keep from being written; -1 for none."""
     try:
-        descriptor = os.memfd_create(STATE)
+        descriptor = os.memfd_create(STATE_FILE_NAME)
     except OSError as error:
         log.warning("the state goes over by its file alone: %s", error)
         return -1
@@ -153,68 +153,68 @@
     """This process's part in upgrades: first as the successor of one that runs, then as a predecessor."""
 
     def __init__(self, folder: str | None, driver: Driver, front: Front, duck: LameDuck) -> None:
-        self.driver, self.front, self.duck = driver, front, duck
-        self.console = ""  # where staff call this process
-        self.successor = ""  # and where they call the one that takes over, or that came while this one ended
+        self.driver, self.front, self.lame_duck = driver, front, duck
+        self.console_address = ""  # where staff call this process
+        self.successor_console = ""  # and where they call the one that takes over, or that came while this one ended
         self.loop = asyncio.get_running_loop()
-        self.folder = open_folder(folder) if folder else -1
-        self.link: Link | None = None
-        self.given: asyncio.Future[bool] = self.loop.create_future()
-        self.saving = False  # the state is written again in a moment
-        self.gave = False  # all but what is under way is the successor's
-        self.waiting: dict[str, asyncio.Future[None]] = {}  # bans that the other process has not confirmed
-        self.door: socket.socket | None = None
+        self.directory = open_directory(folder) if folder else -1
+        self.channel: Channel | None = None
+        self.take_over_result: asyncio.Future[bool] = self.loop.create_future()
+        self.save_scheduled = False  # the state is written again in a moment
+        self.handed_over = False  # all but what is under way is the successor's
+        self.pending_confirmations: dict[str, asyncio.Future[None]] = {}  # bans that the other process has not confirmed
+        self.listener: socket.socket | None = None
 
     def path(self, name: str) -> str:
-        return f"/proc/self/fd/{self.folder}/{name}"
+        return f"/proc/self/fd/{self.directory}/{name}"
 
     # as the successor
 
-    def find(self) -> bool:
+    def connect_to_predecessor(self) -> bool:
         """True if a process that could hand over runs already."""
-        if self.folder < 0:
+        if self.directory < 0:
             return False
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            sock.connect(self.path(LINK))
+            sock.connect(self.path(SOCKET_NAME))
         except OSError as error:  # none, or what one that was killed has left
             log.debug("no process to take over from: %s", error)
             sock.close()
             return False
-        self.link = Link(sock, self.told, self.ended)
+        self.channel = Channel(sock, self.on_message, self.on_peer_exited)
         return True
 
     async def take_over(self) -> bool:
         """Asks for everything; False where the other process did not give it in time."""
-        if self.link is None or not self.link.send({"say": "take", "console": self.console}):
+        if self.channel is None or not self.channel.send({"say": "take", "console": self.console_address}):
             return False
         try:
-            async with asyncio.timeout(GIVEN_WITHIN):
-                return await self.given
+            async with asyncio.timeout(TAKE_OVER_TIMEOUT):
+                return await self.take_over_result
         except TimeoutError:
-            if self.link is not None:
-                self.link.close()
-                self.link = None
+            if self.channel is not None:
+                self.channel.close()
+                self.channel = None
             return False
 
-    def remember_bans(self) -> None:
+    def restore_suspensions(self) -> None:
         """Where nobody hands over, bans are what must outlive the process before: they are by hand."""
-        self.driver.inherit({"banned": self.read_state().get("banned", [])})
+        self.driver.load_predecessor_state({"banned": self.read_state().get("banned", [])})
 
-    def accept_given(self, message: Message, descriptors: list[int]) -> None:
+    def accept_hand_over(self, message: Message, descriptors: list[int]) -> None:
         """Takes over by the listener's descriptor and, of newer versions, one of the state."""
-        self.limit_to(message)
+        self.set_peer_connections(message)
         state = read_memory_file(descriptors[1]) if len(descriptors) > 1 else {}
-        self.driver.inherit(self.by_own_clock(state or self.read_state()))
+        self.driver.load_predecessor_state(self.add_clock_offset(state or self.read_state()))
         self.front.listen_on(socket.socket(fileno=descriptors[0]))
         left = read_seconds(message, "lame_duck")
         if left is not None:
             log.info("the process before was a lame duck: this one is for %.1f s more", left)
-            self.duck.set(left)
-        if not self.given.done():
-            self.given.set_result(True)
+            self.lame_duck.set(left)
+        if not self.take_over_result.done():
+            self.take_over_result.set_result(True)
 
-    def by_own_clock(self, state: Message) -> Message:
+    def add_clock_offset(self, state: Message) -> Message:
         """Adds how far this process's clock is ahead of the other's: the machine's may have been stepped.
 
         Both know the same moment by the monotonic clock, which is one for all processes of a machine.
@@ -224,201 +224,201 @@
         then = float(state["now"]) + time.monotonic() - float(state["monotonic"])
         return {**state, "clock_ahead": self.driver.clock() - then}
 
-    def limit_to(self, message: Message) -> None:
+    def set_peer_connections(self, message: Message) -> None:
         """The two share the limits: what the other still holds is not to be had here."""
         self.front.elsewhere, self.driver.pool.elsewhere = int(message["clients"]), int(message["backends"])
 
     # as the predecessor
 
-    def open(self) -> None:
+    def listen(self) -> None:
         """Lets a successor call; the path is taken over at once from whatever stood there."""
-        if self.folder < 0:
+        if self.directory < 0:
             return
         door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        new = self.path(f"{LINK}.{os.getpid()}")
+        new = self.path(f"{SOCKET_NAME}.{os.getpid()}")
         try:
             if os.path.lexists(new):
                 os.unlink(new)
             door.bind(new)
             door.listen(4)
-            os.rename(new, self.path(LINK))
+            os.rename(new, self.path(SOCKET_NAME))
         except OSError as error:
             log.warning("no successor can take over from this process: %s", error)
             return door.close()
         door.setblocking(False)
-        self.door = door
-        self.listen_at_door()
+        self.listener = door
+        self.watch_listener()
 
-    def listen_at_door(self) -> None:
-        if self.door is not None:
-            self.loop.add_reader(self.door, self.called)
+    def watch_listener(self) -> None:
+        if self.listener is not None:
+            self.loop.add_reader(self.listener, self.accept_successor)
 
-    def called(self) -> None:
-        assert self.door is not None
+    def accept_successor(self) -> None:
+        assert self.listener is not None
         try:
-            sock, _ = self.door.accept()
+            sock, _ = self.listener.accept()
         except OSError as error:
-            self.loop.remove_reader(self.door)  # a failure that lasts must not hold the loop
-            self.loop.call_later(CALLED_AGAIN, self.listen_at_door)
+            self.loop.remove_reader(self.listener)  # a failure that lasts must not hold the loop
+            self.loop.call_later(ACCEPT_RETRY_DELAY, self.watch_listener)
             return log.warning("a caller for a hand-over was lost: %s", error)
-        if self.gave or (self.link is not None and self.link.sock.fileno() >= 0):
+        if self.handed_over or (self.channel is not None and self.channel.sock.fileno() >= 0):
             return sock.close()  # one at a time
-        self.link = Link(sock, self.told, self.ended)
+        self.channel = Channel(sock, self.on_message, self.on_peer_exited)
 
-    def give(self, successor: str) -> None:
+    def hand_over(self, successor: str) -> None:
         """All that a successor needs goes over: from here on this process only ends what it has."""
         listener = self.front.listener
-        if self.link is None or self.gave:
+        if self.channel is None or self.handed_over:
             return
-        self.successor = successor
+        self.successor_console = successor
         if self.front.stopping or listener is None:  # it takes what still comes, and ends by itself
-            self.link.send({"say": "closing"})
+            self.channel.send({"say": "closing"})
             return
-        self.gave = True
+        self.handed_over = True
         self.front.pause_accepting()
         self.driver.pool.keep_none()
         state = {**self.driver.hand_over(), "monotonic": time.monotonic()}
         self.write_state(state)  # an older version reads the file; it may not be written, as on a full disk
-        given = {"say": "given", **self.holds(), "lame_duck": self.duck.left()}
-        memory = memory_file(state_text(state))
-        sent = self.link.send(given, listener.fileno(), *([] if memory < 0 else [memory]))
+        given = {"say": "given", **self.connection_counts(), "lame_duck": self.lame_duck.remaining()}
+        memory = create_memory_file(serialize_state(state))
+        sent = self.channel.send(given, listener.fileno(), *([] if memory < 0 else [memory]))
         if memory >= 0:
             os.close(memory)
         if not sent:
-            return self.take_back()
-        self.duck.hand_on()
+            return self.resume_serving()
+        self.lame_duck.stop_timer()
         log.info("handed over to a successor; %d requests are still open here", self.driver.unanswered)
-        self.front.successor = self.move
+        self.front.successor = self.move_connection
         self.front.move_idle()
-        self.loop.call_later(TELL_EVERY, self.tell_holds)
+        self.loop.call_later(CONNECTION_COUNT_INTERVAL, self.send_connection_counts)
 
-    def move(self, connection: ClientConnection) -> bool:
+    def move_connection(self, connection: ClientConnection) -> bool:
         """Gives a client's connection away; False where that can't be done now."""
-        if self.link is None or connection.transport is None:
+        if self.channel is None or connection.transport is None:
             return False
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        return self.link.send({"say": "client", **asdict(connection.history())}, descriptor)
+        return self.channel.send({"say": "client", **asdict(connection.history())}, descriptor)
 
-    def holds(self) -> Message:
+    def connection_counts(self) -> Message:
         pool, clients = self.driver.pool, len(self.front.connections)
         return {"clients": clients, "backends": len(pool.links)}
 
-    def tell_holds(self) -> None:
-        if self.gave and self.link is not None:
-            self.link.send({"say": "holds", **self.holds()})
-            self.loop.call_later(TELL_EVERY, self.tell_holds)
+    def send_connection_counts(self) -> None:
+        if self.handed_over and self.channel is not None:
+            self.channel.send({"say": "holds", **self.connection_counts()})
+            self.loop.call_later(CONNECTION_COUNT_INTERVAL, self.send_connection_counts)
 
-    def take_back(self) -> None:
+    def resume_serving(self) -> None:
         """The successor went before this process was told to stop: it serves on, with what credit is left."""
         log.warning("the successor is gone: this process serves on")
-        self.gave, self.front.successor, self.successor = False, None, ""
+        self.handed_over, self.front.successor, self.successor_console = False, None, ""
         self.driver.pool.keeping = True
-        self.driver.take_back()
+        self.driver.cancel_hand_over()
         self.front.resume_accepting()
         self.front.stay()
-        self.shut()
-        self.open()  # the path may be the successor's by now
-        self.duck.go_on()
+        self.stop_listening()
+        self.listen()  # the path may be the successor's by now
+        self.lame_duck.start_timer()
 
     # both
 
-    def told(self, message: Message, descriptors: list[int]) -> None:
+    def on_message(self, message: Message, descriptors: list[int]) -> None:
         match message["say"]:
             case "take":
-                self.give(str(message.get("console", "")))
+                self.hand_over(str(message.get("console", "")))
             case "given":
-                self.accept_given(message, descriptors)
+                self.accept_hand_over(message, descriptors)
             case "closing":
-                if not self.given.done():
-                    self.given.set_result(False)
+                if not self.take_over_result.done():
+                    self.take_over_result.set_result(False)
             case "lame duck":
-                self.duck.set(read_seconds(message, "left"))
-                self.duck.hand_on()
+                self.lame_duck.set(read_seconds(message, "left"))
+                self.lame_duck.stop_timer()
             case "client":
                 self.front.adopt(descriptors[0], read_history(message))
             case "holds":
-                self.limit_to(message)
+                self.set_peer_connections(message)
             case "suspend":
                 self.driver.suspend(str(message["id"]))
-                self.confirm(message)
+                self.send_confirmation(message)
             case "restore":
                 self.driver.restore(str(message["id"]))
-                self.confirm(message)
+                self.send_confirmation(message)
             case "did":
-                waiting = self.waiting.pop(str(message["id"]), None)
+                waiting = self.pending_confirmations.pop(str(message["id"]), None)
                 if waiting is not None and not waiting.done():
                     waiting.set_result(None)
             case other:
                 raise ValueError(f"unknown message {other!r}")
 
-    def tell_duck(self) -> None:
+    def send_lame_duck(self) -> None:
         """What staff said here also holds for the process before, should it have to serve on."""
-        if self.link is not None:
-            self.link.send({"say": "lame duck", "left": self.duck.left()})
+        if self.channel is not None:
+            self.channel.send({"say": "lame duck", "left": self.lame_duck.remaining()})
 
-    def confirm(self, message: Message) -> None:
-        self.save_bans()
-        if self.link is not None:
-            self.link.send({"say": "did", "id": message["id"]})
+    def send_confirmation(self, message: Message) -> None:
+        self.save_suspensions()
+        if self.channel is not None:
+            self.channel.send({"say": "did", "id": message["id"]})
 
-    def save_bans(self) -> None:
-        if not self.gave:  # the file is the successor's from then on
+    def save_suspensions(self) -> None:
+        if not self.handed_over:  # the file is the successor's from then on
             self.write_state({"banned": sorted(self.driver.gateway.banned)})
 
-    async def banned(self, say: str, backend: str) -> None:
+    async def share_suspension(self, say: str, backend: str) -> None:
         """A ban or its end made here also binds the other process, before anybody hears of it."""
-        self.save_bans()
-        if self.link is None or not self.link.send({"say": say, "id": backend}):
+        self.save_suspensions()
+        if self.channel is None or not self.channel.send({"say": say, "id": backend}):
             return
-        waiting = self.waiting.setdefault(backend, self.loop.create_future())
+        waiting = self.pending_confirmations.setdefault(backend, self.loop.create_future())
         try:
-            async with asyncio.timeout(DONE_WITHIN):
+            async with asyncio.timeout(CONFIRMATION_TIMEOUT):
                 await asyncio.shield(waiting)
         except TimeoutError:
             log.warning("the other process did not confirm the call for %s", backend)
 
-    def ended(self) -> None:
+    def on_peer_exited(self) -> None:
         """The other process has gone."""
-        self.link = None
-        for waiting in self.waiting.values():
+        self.channel = None
+        for waiting in self.pending_confirmations.values():
             if not waiting.done():
                 waiting.set_result(None)
-        self.waiting.clear()
-        if self.gave and not self.front.stopping:
-            return self.take_back()
-        if not self.given.done():
-            self.given.set_result(False)
+        self.pending_confirmations.clear()
+        if self.handed_over and not self.front.stopping:
+            return self.resume_serving()
+        if not self.take_over_result.done():
+            self.take_over_result.set_result(False)
         self.front.elsewhere = self.driver.pool.elsewhere = 0
-        self.driver.alone()
+        self.driver.on_predecessor_ended()
 
     def write_state(self, state: Message) -> None:
         """Whole or not at all, with its version and a checksum."""
-        if self.folder < 0:
+        if self.directory < 0:
             return
-        new = self.path(f"{STATE}.{os.getpid()}")
+        new = self.path(f"{STATE_FILE_NAME}.{os.getpid()}")
         try:
             with open(new, "w", encoding="ascii") as file:
-                file.write(state_text(state))
-            os.replace(new, self.path(STATE))
+                file.write(serialize_state(state))
+            os.replace(new, self.path(STATE_FILE_NAME))
         except OSError as error:
             log.warning("the state was not written: %s", error)
             with suppress(OSError):
                 os.unlink(new)
-            if not (self.gave or self.saving):  # bans that staff were told of are owed to the next process
-                self.saving = True
-                self.loop.call_later(SAVE_AGAIN, self.save_again)
+            if not (self.handed_over or self.save_scheduled):  # bans that staff were told of are owed to the next process
+                self.save_scheduled = True
+                self.loop.call_later(SAVE_RETRY_DELAY, self.save_again)
 
     def save_again(self) -> None:
-        self.saving = False
-        if self.folder >= 0:
-            self.save_bans()
+        self.save_scheduled = False
+        if self.directory >= 0:
+            self.save_suspensions()
 
     def read_state(self) -> Message:
         """What was written last; nothing where it is of another version, or not whole."""
-        if self.folder < 0:
+        if self.directory < 0:
             return {}
         try:
-            with open(self.path(STATE), encoding="ascii") as file:
+            with open(self.path(STATE_FILE_NAME), encoding="ascii") as file:
                 return parse_state(file.read())
         except FileNotFoundError:
             return {}
@@ -426,16 +426,16 @@
             log.warning("the state that was left is of no use: %s", error)
             return {}
 
-    def shut(self) -> None:
-        if self.door is not None:
-            self.loop.remove_reader(self.door)
-            self.door.close()
-            self.door = None
+    def stop_listening(self) -> None:
+        if self.listener is not None:
+            self.loop.remove_reader(self.listener)
+            self.listener.close()
+            self.listener = None
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close()
-        self.shut()
-        if self.folder >= 0:
-            os.close(self.folder)
-            self.folder = -1
+        if self.channel is not None:
+            self.channel.close()
+        self.stop_listening()
+        if self.directory >= 0:
+            os.close(self.directory)
+            self.directory = -1
--- a/embersill/net/lameduck.py
+++ b/embersill/net/lameduck.py
@@ -12,29 +12,29 @@
     """The time until the process is to end, if it is a lame duck. A successor goes on with it."""
 
     def __init__(self, clock: Callable[[], float], front: Front, over: Callable[[], None]) -> None:
-        self.clock, self.front, self.over = clock, front, over
+        self.clock, self.front, self.on_expired = clock, front, over
         self.loop = asyncio.get_running_loop()
-        self.until: float | None = None
+        self.ends_at: float | None = None
         self.timer: asyncio.TimerHandle | None = None
 
-    def left(self) -> float | None:
+    def remaining(self) -> float | None:
         """Seconds until it ends, or None where it is no lame duck."""
-        return None if self.until is None else max(self.until - self.clock(), 0.0)
+        return None if self.ends_at is None else max(self.ends_at - self.clock(), 0.0)
 
     def set(self, left: float | None) -> None:
         """Makes it one for so many seconds, or with None takes that back."""
-        self.hand_on()
+        self.stop_timer()
         self.front.leaving = left is not None
-        self.until = None if left is None else self.clock() + left
-        self.go_on()
+        self.ends_at = None if left is None else self.clock() + left
+        self.start_timer()
 
-    def hand_on(self) -> None:
+    def stop_timer(self) -> None:
         """A successor keeps the time from now on."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def go_on(self) -> None:
-        left = self.left()
+    def start_timer(self) -> None:
+        left = self.remaining()
         if left is not None:
-            self.timer = self.loop.call_later(left, self.over)
+            self.timer = self.loop.call_later(left, self.on_expired)
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -115,7 +115,7 @@
             os.close(descriptor)
 
 
-def links(pool: Pool) -> list[BackendConnection]:
+def backend_connections(pool: Pool) -> list[BackendConnection]:
     return [link for link in pool.links if isinstance(link, BackendConnection)]
 
 
@@ -131,9 +131,9 @@
             await peer.start()
         entries = [self.discovery.entry(f"b{n}", b.address) for n, b in enumerate(self.backends)]
         self.discovery.entries = {e["instanceId"]: e for e in entries}
-        told = self.told(env, sockets)
+        told = self.configuration(env, sockets)
         self.program = Program(build_configuration(told, {"TMPDIR": folder}))
-        self.program.listen = self.program.console_at = (HOST, 0)
+        self.program.listen_address = self.program.console_address = (HOST, 0)
         await self.program.start()
         assert self.program.front.listener is not None
         self.port = self.program.front.listener.getsockname()[1]
@@ -151,7 +151,7 @@
         writer.close()
         return answer.decode()
 
-    def told(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
+    def configuration(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
         return {
             "name": "n0", "listen": f"{HOST}:1", "discovery": self.discovery.address,
             "counter": self.counter.address, "seed": "8c1f30d27a5be964",
@@ -160,7 +160,7 @@
             "settings": env,
         }
 
-    async def answered(self) -> None:
+    async def until_answered(self) -> None:
         """Waits until nothing that was taken is unanswered."""
         async with asyncio.timeout(SOON):
             while self.program.driver.unanswered:
@@ -168,9 +168,9 @@
 
     async def successor(self, env: dict[str, Any], folder: str) -> Program:
         """A second process's program beside the first, with the same addresses but for its console."""
-        told = {**self.told(env, 1024), "listen": f"{HOST}:{self.port}"}
+        told = {**self.configuration(env, 1024), "listen": f"{HOST}:{self.port}"}
         second = Program(build_configuration(told, {"TMPDIR": folder}))
-        second.console_at = (HOST, 0)
+        second.console_address = (HOST, 0)
         await second.start()
         return second
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -71,8 +71,8 @@
         self.asked: list[str] = []
         self.headers: list[str] = []  # of every answer
         self.silent = self.endless = False
-        self.hasty = False  # watches are answered at once, with nothing
-        self.mute = 0  # so many of the next answers are not given
+        self.empty_watches = False  # watches are answered at once, with nothing
+        self.answers_to_omit = 0  # so many of the next answers are not given
 
     entry = staticmethod(entry)
 
@@ -103,14 +103,14 @@
                 while self.endless:
                     writer.write(b"400\r\n" + b" " * 1024 + b"\r\n")
                     await asyncio.sleep(0.001)
-            if self.mute:
-                self.mute -= 1
+            if self.answers_to_omit:
+                self.answers_to_omit -= 1
             elif not self.silent:
                 writer.write(message(200, body, *self.headers))
 
     async def news(self, since: int, wait: float) -> bytes:
         try:
-            async with asyncio.timeout(0.0 if self.hasty else wait):
+            async with asyncio.timeout(0.0 if self.empty_watches else wait):
                 await self.changed.wait_for(lambda: self.generation > since)
         except TimeoutError:
             return self.listing(False, [])
@@ -128,9 +128,9 @@
         super().__init__()
         self.sums: dict[str, float] = {}
         self.calls: list[tuple[str, float]] = []
-        self.say: list[bytes] = []
-        self.free = asyncio.Event()
-        self.free.set()
+        self.scripted_answers: list[bytes] = []
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -139,8 +139,8 @@
             self.calls.append((name, amount))
             self.sums[name] = self.sums.get(name, 0.0) + amount
             answer = total_text(self.sums[name])
-            await self.free.wait()
-            writer.write(self.say.pop(0) if self.say else answer)
+            await self.may_answer.wait()
+            writer.write(self.scripted_answers.pop(0) if self.scripted_answers else answer)
 
 
 def settings_text(**limits: Any) -> dict[str, Any]:
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -44,8 +44,8 @@
 
         discovery.Discovery.run = follows_once
     elif name == "goes on for clients that left":
-        driver.Driver.client_left = lambda self, number: None
-        driver.Driver.is_abandoned = lambda self, pending: pending.over
+        driver.Driver.on_client_disconnected = lambda self, number: None
+        driver.Driver.is_abandoned = lambda self, pending: pending.ended
     elif name == "tells backends more time":
         use = pool.Pool.use
 
@@ -87,7 +87,7 @@
         driver.Driver.finish = changes
     elif name == "forgets to answer":
         refuse = driver.Driver.refuse
-        driver.Driver.rescue = lambda self, pending: None
+        driver.Driver.fail_unanswered = lambda self, pending: None
         driver.Driver.refuse = lambda self, action: None if every(2) else refuse(self, action)
     elif name == "closes without an answer":
         answer = clients.Exchange.answer
@@ -100,14 +100,14 @@
 
         clients.Exchange.answer = closes
     elif name == "crashes":
-        take = driver.Driver.take
+        take = driver.Driver.accept_request
 
         def crashes(self, call, exchange):
             if every(120):
                 os._exit(1)
             return take(self, call, exchange)
 
-        driver.Driver.take = crashes
+        driver.Driver.accept_request = crashes
     elif name == "takes cold backends for warm":
         control.Server.cold_share = lambda self, now, settings: 1.0
     elif name == "passes ceilings":
@@ -133,13 +133,13 @@
 
         clients.Front.take = leaks
     elif name == "leaks memory":
-        kept, taken = [], driver.Driver.take
+        kept, taken = [], driver.Driver.accept_request
 
         def keeps(self, call, exchange):
             kept.append(bytearray(os.urandom(64)) * 16384)
             return taken(self, call, exchange)
 
-        driver.Driver.take = keeps
+        driver.Driver.accept_request = keeps
     elif name == "waits for half requests for ever":
         clients.ClientConnection.hurry = lambda self, now: None
     elif name == "drops all at SIGTERM":
--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -253,12 +253,12 @@
         async with fleet(3) as made:
             leaver = made.peers["aggregator-1"]
             here = made.customers_of("aggregator-1", 10)
-            leaver.free.clear()
+            leaver.may_answer.clear()
             made.add(here)
             await made.until(lambda: bool(leaver.calls))
             await made.directory.change(made.entry("aggregator-1", state))
             await made.listed(2)
-            leaver.free.set()
+            leaver.may_answer.set()
             assert await made.outcomes(10) == {Outcome.SERVED: 10}
             made.add(here)
             assert await made.outcomes(20) == {Outcome.SERVED: 20}
@@ -274,7 +274,7 @@
         async with fleet(2) as made:
             leaver = made.peers["aggregator-1"]
             here = made.customers_of("aggregator-1", 5)
-            leaver.free.clear()
+            leaver.may_answer.clear()
             made.add(here, 1.0)
             await made.until(lambda: bool(leaver.calls))
             await made.directory.change(made.entry("aggregator-1", "DRAINING"))
@@ -285,7 +285,7 @@
             made.add(here, 4.0)  # ends at once, and is told of last
             await asyncio.sleep(0.02)
             assert not made.told
-            leaver.free.set()
+            leaver.may_answer.set()
             await made.outcomes(15)
             for customer in here:
                 ends = [(c.outcome, c.total) for c in made.told if c.name == f"{customer}.7"]
@@ -299,13 +299,13 @@
     async def test() -> None:
         async with fleet(2, patience=SHORT) as made:
             leaver = made.peers["aggregator-1"]
-            leaver.free.clear()
+            leaver.may_answer.clear()
             made.add(made.customers_of("aggregator-1", 5))
             await made.until(lambda: bool(leaver.calls))
             await made.directory.change(made.entry("aggregator-1", "DRAINING"))
             await made.listed(1)
             assert await made.outcomes(5) == {Outcome.TIMED_OUT: 5}
-            leaver.free.set()
+            leaver.may_answer.set()
             await asyncio.sleep(2 * SHORT)
             assert len(made.told) == 5 and not made.router.leaving
 
@@ -355,7 +355,7 @@
     async def test() -> None:
         async with fleet(10, connections=5) as made:
             for peer in made.peers.values():
-                peer.free.clear()
+                peer.may_answer.clear()
             made.add(CUSTOMERS[:100])
             await asyncio.sleep(0.05)
             assert sum(peer.connections for peer in made.peers.values()) == 4
@@ -363,7 +363,7 @@
             assert refused == {Outcome.NO_CONNECTION}
             reached = sum(len(peer.calls) for peer in made.peers.values())
             for peer in made.peers.values():
-                peer.free.set()
+                peer.may_answer.set()
             outcomes = await made.outcomes(100)
             assert outcomes[Outcome.SERVED] >= reached > 0
 
@@ -461,7 +461,7 @@
             planned[part is not None] = program.dialer.pool.most + program.front.most
             if program.driver.counter is not None:
                 program.driver.counter.close()
-            program.driver.reporter.cancel()
+            program.driver.report_timer.cancel()
             if part is not None:
                 assert isinstance(program.driver.counter, AggregatorRouter)
                 assert program.driver.counter.most_open == aggregators - 1
@@ -483,15 +483,15 @@
         driver = bed.program.driver
 
         def reload(part: Any) -> None:
-            path.write_text(json.dumps({**bed.told(roomy_settings(), 1024), "aggregation": part}))
+            path.write_text(json.dumps({**bed.configuration(roomy_settings(), 1024), "aggregation": part}))
             bed.program.reload()
 
         async def count(name: str, amount: float) -> None:
             assert driver.counter is not None
-            driver.counting += 1
+            driver.pending_counter_calls += 1
             driver.counter.add(name, amount, 60.0)
             async with asyncio.timeout(SOON):
-                while driver.counting:
+                while driver.pending_counter_calls:
                     await asyncio.sleep(0.002)
 
         await count("c.1", 1.0)
@@ -527,9 +527,9 @@
         self.directory = DiscoveryPeer()
         self.aggregators = [CounterPeer() for _ in range(3)]
 
-    def told(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
+    def configuration(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
         part = {"directory": self.directory.address, "calls_per_second": 1000.0, "burst": 10.0}
-        return {**super().told(env, sockets), "aggregation": part}
+        return {**super().configuration(env, sockets), "aggregation": part}
 
     async def begin(self) -> None:
         for peer in (self.directory, *self.aggregators):
--- a/tests/test_aggregator_failures.py
+++ b/tests/test_aggregator_failures.py
@@ -203,7 +203,7 @@
         async with serving(counter.address, window=0.02) as server, caller(server.port) as one:
             await until_lease(server)
             assert await one.add("a.1", 1.0) == 1.0
-            counter.say = [total_text(5.0) * 2]
+            counter.scripted_answers = [total_text(5.0) * 2]
             await one.add("a.1", 4.0)
             await until_counted(counter, "a.1", 5.0)
             for _ in range(20):
--- a/tests/test_aggregator_server.py
+++ b/tests/test_aggregator_server.py
@@ -99,13 +99,13 @@
         async with serving(counter.address) as server, caller(server.port) as one:
             await until_lease(server)
             await one.add("known.1", 5.0)
-            counter.free.clear()
+            counter.may_answer.clear()
             one.write_add("new.1", 3.0)
             one.write_add("known.1", 1.0)
             one.write("PING")
             one.write_add("known.1", 1.0, 0)
             await asyncio.sleep(0.05)
-            counter.free.set()
+            counter.may_answer.set()
             assert [read_value(await one.read()) for _ in range(2)] == [3.0, 6.0]
             assert await one.read() == b"PONG"
             assert read_value(await one.read()) == "ERR"
@@ -210,7 +210,7 @@
         counter = await started()
         async with serving(counter.address, lease=SOON) as server, caller(server.port) as one:
             await until_lease(server)
-            counter.free.clear()
+            counter.may_answer.clear()
             many = 40 * MOST_UNANSWERED
             for number in range(many):
                 one.write_add(f"c{number % 100}.1", 1.0)
@@ -218,7 +218,7 @@
             connection = next(iter(server.connections))
             held = len(connection.replies)
             assert MOST_UNANSWERED < held < many / 2
-            counter.free.set()
+            counter.may_answer.set()
             for _ in range(many):
                 assert isinstance(read_value(await one.read()), float)
         await counter.stop()
@@ -231,7 +231,7 @@
         counter = await started()
         async with serving(counter.address) as server, caller(server.port) as one:
             await until_lease(server)
-            counter.free.clear()
+            counter.may_answer.clear()
             one.write_add("a.1", 4.0)
             async with asyncio.timeout(SOON):
                 while ("a.1", 4.0) not in counter.calls:
@@ -239,7 +239,7 @@
             for writer in list(counter.open):
                 reset(writer)
             assert read_value(await one.read()) == "none"
-            counter.free.set()
+            counter.may_answer.set()
             assert await one.add("a.1", 1.0) == 5.0
         await counter.stop()
 
@@ -299,13 +299,13 @@
 def test_upstream_that_stays_silent_may_have_added() -> None:
     async def test() -> None:
         counter, results = await started(), Results()
-        counter.free.clear()
+        counter.may_answer.clear()
         client = upstream(counter.address, results, patience=0.1)
         client.send(forward(1))
         client.send(forward(2))
         await results.until(2)
         assert [told[:2] for told in results.told] == [(n, ForwardStatus.UNKNOWN) for n in (1, 2)]
-        counter.free.set()
+        counter.may_answer.set()
         client.send(forward(3))
         await results.until(3)
         assert results.told[2] == (3, ForwardStatus.ADDED, 3.0)
@@ -340,7 +340,7 @@
 def test_a_second_answer_to_a_call_ends_the_connection() -> None:
     async def test() -> None:
         counter, results = await started(), Results()
-        counter.say = [b"$1\r\n5\r\n$2\r\n50\r\n"]
+        counter.scripted_answers = [b"$1\r\n5\r\n$2\r\n50\r\n"]
         client = upstream(counter.address, results)
         client.send(forward(1))
         await results.until(1)
@@ -359,7 +359,7 @@
 def test_an_answer_without_a_number_may_have_added_and_ends_the_connection(said: bytes) -> None:
     async def test() -> None:
         counter, results = await started(), Results()
-        counter.say = [said]
+        counter.scripted_answers = [said]
         client = upstream(counter.address, results)
         client.send(forward(1))
         await results.until(1)
@@ -376,7 +376,7 @@
 def test_busy_and_err_have_added_nothing_and_keep_the_connection() -> None:
     async def test() -> None:
         counter, results = await started(), Results()
-        counter.say = [b"-BUSY\r\n", b"-ERR no\r\n"]
+        counter.scripted_answers = [b"-BUSY\r\n", b"-ERR no\r\n"]
         client = upstream(counter.address, results)
         for number in range(3):
             client.send(forward(number))
@@ -420,7 +420,7 @@
         async with caller(program.port) as one:
             await until_ready(one)
             await one.add("a.1", 1.0)
-            counter.free.clear()
+            counter.may_answer.clear()
             await one.add("a.1", 6.0)
             log = await program.end(signal.SIGTERM)
         assert program.child.returncode == 0, log
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -16,7 +16,7 @@
 from embersill.net.backends import REST, Answer, Attempt, Dialer
 from embersill.net.bodies import WHOLE, Sink
 from embersill.net.pool import Address, Pool
-from tests.bed import links, no_descriptors, run
+from tests.bed import backend_connections, no_descriptors, run
 from tests.peers import SOON, BackendPeer, Step
 
 HEAD = b"POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nContent-Length: 2\r\n"
@@ -385,7 +385,7 @@
             await peer.until(lambda: len(peer.seen) == 2)
             assert await sender.outcome() is Outcome.SERVED  # a third connection, kept
             assert sender.pool.idle() == 1
-            attempt = next(c.attempt for c in links(sender.pool) if c.attempt is not None)
+            attempt = next(c.attempt for c in backend_connections(sender.pool) if c.attempt is not None)
             attempt.time_out()
             assert not sender.pool.idle() and (first.done() or second.done())
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 4
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,7 +11,7 @@
 from embersill.lab.peers import Asked, message, read_message
 from embersill.net.bodies import READ, WHOLE, ended_unread, is_readable
 from embersill.net.clients import READ_WITHIN, SLOWEST
-from tests.bed import Bed, Client, links, request, roomy_settings, run, running
+from tests.bed import Bed, Client, backend_connections, request, roomy_settings, run, running
 from tests.peers import SOON, serve
 
 LARGE = random.Random(7).randbytes(1_000_000)
@@ -54,7 +54,7 @@
             status, _, body = await client.answer()
             assert status == 200 and body == LARGE
             assert (await client.ask(request(2)))[0] == 200  # the connection is still good
-            assert bed.program.driver.figures.ended["success"]["lookup"] == 2
+            assert bed.program.driver.figures.requests_by_result["success"]["lookup"] == 2
             assert not bed.program.driver.pending and not bed.program.driver.gateway.jobs
 
     run(test)
@@ -78,7 +78,7 @@
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await client.answer()
             assert len(bed.seen()) == 1
-            assert bed.program.driver.figures.ended["failure"]["lookup"] == 1
+            assert bed.program.driver.figures.requests_by_result["failure"]["lookup"] == 1
             assert not bed.program.driver.gateway.jobs
 
     run(test)
@@ -121,7 +121,7 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request(1))
             async with asyncio.timeout(SOON):
-                while not any(c.paused for c in links(bed.program.driver.pool)):
+                while not any(c.paused for c in backend_connections(bed.program.driver.pool)):
                     await asyncio.sleep(0.001)
             (connection,) = bed.program.front.connections
             assert connection.transport is not None
@@ -165,7 +165,7 @@
 async def upload_under_way(bed: Bed, client: Client) -> None:
     client.send(request(1, "extract", body=LARGE)[:300_000])
     async with asyncio.timeout(SOON):
-        while not any(c.attempt for c in links(bed.program.driver.pool)):
+        while not any(c.attempt for c in backend_connections(bed.program.driver.pool)):
             await asyncio.sleep(0)
 
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -42,7 +42,7 @@
 
 async def gone(bed: Bed) -> None:
     """Waits until the gateway knows that nobody waits for an answer any more."""
-    await bed.answered()
+    await bed.until_answered()
 
 
 def test_ends_are_looked_for_often_enough() -> None:
@@ -55,7 +55,7 @@
     other = await bed.client()
     assert (await other.ask(request(0xfff)))[0] == 200
     assert len(bed.seen()) == seen + 1 and bed.seen()[-1][1]["x-call-id"].endswith("fff")
-    assert bed.program.driver.figures.others["client left"] >= 1
+    assert bed.program.driver.figures.other_counts["client left"] >= 1
 
 
 async def only_first_is_served(bed: Bed, first: Client, free: asyncio.Event) -> None:
@@ -112,7 +112,7 @@
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request(1))
-        while not bed.program.driver.figures.others["attempt served"]:
+        while not bed.program.driver.figures.other_counts["attempt served"]:
             await asyncio.sleep(0)
         client.writer.write_eof()
         while any(not c.ended for c in bed.program.front.connections):
@@ -130,7 +130,7 @@
         client = await bed.client()
         for number in range(1, 100):  # 8 units a time use the bank up, then one is held
             client.send(request(number, units="8", budget=1000.0))
-            while bed.program.driver.taken < number:
+            while bed.program.driver.last_request_id < number:
                 await asyncio.sleep(0)
             throttle = next(iter(bed.program.driver.gateway.throttles.values()))
             if throttle.queue and throttle.wait(8.0) > NOTICED_WITHIN:
@@ -241,10 +241,10 @@
         WAYS[way](client)
         await gone(bed)
         assert connection.ended and not bed.program.driver.pending
-        taken = bed.program.driver.taken
+        taken = bed.program.driver.last_request_id
         while connection.transport is not None:
             await asyncio.sleep(0)
-        assert bed.program.driver.taken == taken  # none of what stood behind is begun
+        assert bed.program.driver.last_request_id == taken  # none of what stood behind is begun
 
     with_bed(test, sockets=4096)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -135,7 +135,7 @@
     async def test(bed: Bed, client: Client) -> None:
         told, _, body = await client.ask(text)
         assert told == status and len(body.splitlines()) <= 1
-        assert bed.program.driver.taken == 0 and not bed.seen()
+        assert bed.program.driver.last_request_id == 0 and not bed.seen()
         assert (await (await bed.client()).ask(request(2)))[0] == 200  # and the process goes on
 
     with_bed(test)
@@ -196,8 +196,8 @@
         client.send(b"".join(request(n) for n in range(1000)))
         while not any(c.stuck for c in bed.program.front.connections):
             await asyncio.sleep(0)
-        await bed.answered()
-        assert bed.program.driver.taken < 1000
+        await bed.until_answered()
+        assert bed.program.driver.last_request_id < 1000
         connection = next(c for c in bed.program.front.connections if c.stuck)
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < 3_000_000
@@ -219,7 +219,7 @@
         client.send(b"".join(request(n) for n in range(1000)))
         while not any(c.stuck for c in front.connections):
             await asyncio.sleep(0)
-        await bed.answered()
+        await bed.until_answered()
         front.look()
         assert any(c.stuck for c in front.connections)  # not before its time
         front.clock = lambda: clock() + STUCK
@@ -297,7 +297,7 @@
         front.clock = lambda: clock() + READ_WITHIN + 10 / SLOWEST
         front.look()
         assert (await client.answer())[0] == 408
-        assert await client.closed() and not bed.program.driver.taken
+        assert await client.closed() and not bed.program.driver.last_request_id
 
     with_bed(test)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 import pytest
 
 from embersill.lab.peers import Asked, message
-from embersill.net.console import MOST_CALLERS, MOST_LINE
+from embersill.net.console import MAX_CONSOLE_CONNECTIONS, MAX_LINE_LENGTH
 from tests.bed import READY, Bed, request, roomy_settings, run, running
 from tests.peers import SOON, serve
 
@@ -25,7 +25,7 @@
     b"\n", b"   \n", b"STATE\n", b"status\n", b"STATUS now\n", b"METRICS x\n", b"SUSPEND\n",
     b"SUSPEND b0 b1\n", b"RESTORE\n", b"SUSPEND nobody\n", b"RESTORE nobody\n", b"\xff\xfe\n",
     b"GET / HTTP/1.1\r\n\r\n",
-    b"x" * 200_000, b"STATUS" + b" " * MOST_LINE + b"\n",
+    b"x" * 200_000, b"STATUS" + b" " * MAX_LINE_LENGTH + b"\n",
 ])
 def test_what_is_no_call_gets_an_error_with_a_reason(text: bytes) -> None:
     async def test() -> None:
@@ -54,11 +54,11 @@
         async with running() as bed:
             assert bed.program.console.server is not None
             address = bed.program.console.server.sockets[0].getsockname()
-            held = [await asyncio.open_connection(*address) for _ in range(3 * MOST_CALLERS)]
+            held = [await asyncio.open_connection(*address) for _ in range(3 * MAX_CONSOLE_CONNECTIONS)]
             for _, writer in held[::2]:
                 writer.write(b"STAT")
             assert (await bed.console(b"STATUS\n")).startswith("done ")
-            assert len(bed.program.console.callers) <= MOST_CALLERS
+            assert len(bed.program.console.connections) <= MAX_CONSOLE_CONNECTIONS
             async with asyncio.timeout(SOON):  # the first to come made way, and was told
                 assert (await held[0][0].read()).startswith(b"error ")
             for _, writer in held:
@@ -206,14 +206,14 @@
             status, headers, _ = await client.ask(request(1))
             assert status == 200 and "connection" not in headers
             assert (await asked(bed, b"SERVE"))["phase"] == "serving"
-            assert (await client.ask(READY))[0] == 200 and not bed.program.stopped.is_set()
+            assert (await client.ask(READY))[0] == 200 and not bed.program.stop_requested.is_set()
             assert (await asked(bed, b"SERVE"))["ready"]
-            bed.program.lame_duck = 0.0
+            bed.program.lame_duck_time = 0.0
             await asked(bed, b"DRAIN")
             async with asyncio.timeout(SOON):
-                await bed.program.stopped.wait()
+                await bed.program.stop_requested.wait()
             assert (await bed.console(b"SERVE\n")).startswith("error it is too late")
-            bed.program.heard_last.set()  # nobody waits for its last word
+            bed.program.final_state_reported.set()  # nobody waits for its last word
 
     run(test)
 
@@ -227,13 +227,13 @@
             deaf.writer.transport.pause_reading()  # type: ignore[attr-defined]
             deaf.send(request(1))
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
-            bed.program.lame_duck = 0.0
+            bed.program.lame_duck_time = 0.0
             await asked(bed, b"DRAIN")
-            await bed.program.stopped.wait()
-            bed.program.heard_last.set()
+            await bed.program.stop_requested.wait()
+            bed.program.final_state_reported.set()
             async with asyncio.timeout(SOON):
                 await bed.program.stop()
-            assert bed.program.empty and not bed.program.driver.unanswered
+            assert bed.program.finished and not bed.program.driver.unanswered
             deaf.writer.transport.abort()
 
     run(test)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -41,10 +41,10 @@
 def test_calls_are_pipelined_and_answered_in_order() -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            peer.free.clear()
+            peer.may_answer.clear()
             for amount in (1.5, 2.0, -0.5):
                 counter.add("c1.7", amount, 4.0)
-            peer.free.set()
+            peer.may_answer.set()
             assert [(await told.next())[2] for _ in range(3)] == [1.5, 3.5, 3.0]
             assert peer.connections == 1
 
@@ -55,12 +55,12 @@
     # dropped from the line, its total would be taken for the next call's
     async def test() -> None:
         async with calling(0.02) as (counter, told, peer):
-            peer.free.clear()
+            peer.may_answer.clear()
             counter.add("c1.7", 40.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
             counter.patience = 5.0
             counter.add("c1.7", 2.0, 4.0)
-            peer.free.set()
+            peer.may_answer.set()
             assert await told.next() == ("c1.7", Outcome.SERVED, 42.0)
             assert told.events.empty() and peer.connections == 1
 
@@ -70,12 +70,12 @@
 def test_a_silent_connection_is_given_up_for_later_calls() -> None:
     async def test() -> None:
         async with calling(0.02) as (counter, told, peer):
-            peer.free.clear()
+            peer.may_answer.clear()
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is Outcome.TIMED_OUT
             told.now += 1.1 * SILENT_AFTER * counter.patience
-            peer.free = asyncio.Event()  # the first connection stays silent
-            peer.free.set()
+            peer.may_answer = asyncio.Event()  # the first connection stays silent
+            peer.may_answer.set()
             counter.patience = 5.0
             told.now += SILENT_AFTER * counter.patience
             counter.add("c1.7", 2.0, 4.0)
@@ -103,7 +103,7 @@
 def test_replies_that_are_no_total(reply: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            peer.say = [reply]
+            peer.scripted_answers = [reply]
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is outcome
             counter.add("c1.7", 1.0, 4.0)
@@ -118,7 +118,7 @@
 def test_a_total_that_can_be_read_is_taken(reply: bytes, total: float) -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            peer.say = [reply]
+            peer.scripted_answers = [reply]
             counter.add("c1.7", 1.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, total)
 
@@ -130,7 +130,7 @@
     # what was begun there would take the next answers for its own rest
     async def test() -> None:
         async with calling(0.05) as (counter, told, peer):
-            peer.say = [reply]
+            peer.scripted_answers = [reply]
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is Outcome.TIMED_OUT
             counter.patience = 5.0
@@ -143,7 +143,7 @@
 def test_a_call_that_was_written_when_its_connection_broke_may_have_been_added() -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            peer.free.clear()
+            peer.may_answer.clear()
             counter.add("c1.7", 1.0, 4.0)
             while not peer.calls:
                 await asyncio.sleep(0)
@@ -230,7 +230,7 @@
         async with calling() as (counter, told, peer):
             other = CounterPeer()
             await other.start()
-            peer.free.clear()
+            peer.may_answer.clear()
             counter.add("c1.7", 1.0, 4.0)
             while not peer.calls:
                 await asyncio.sleep(0)
@@ -238,7 +238,7 @@
             counter.move((host, int(port)))
             counter.add("c1.7", 5.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, 5.0)
-            peer.free.set()
+            peer.may_answer.set()
             assert await told.next() == ("c1.7", Outcome.SERVED, 1.0)
             assert other.calls == [("c1.7", 5.0)] and peer.calls == [("c1.7", 1.0)]
             await other.stop()
@@ -250,7 +250,7 @@
     # the module takes the first end for a name as that of its first call for it
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            peer.free.clear()
+            peer.may_answer.clear()
             counter.add("c1.7", 1.0, 4.0)
             while not peer.calls:
                 await asyncio.sleep(0)
--- a/tests/test_directory_gateways.py
+++ b/tests/test_directory_gateways.py
@@ -33,7 +33,7 @@
         self.path.write_text(
             json.dumps(
                 {
-                    **self.bed.told(roomy_settings(), 1024),
+                    **self.bed.configuration(roomy_settings(), 1024),
                     "name": f"n{number}",
                     "listen": f"{HOST}:{self.bed.port}",
                     "discovery": discovery,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -72,7 +72,7 @@
     async def test() -> None:
         peer = DiscoveryPeer()
         await peer.start()
-        peer.entries, peer.hasty = {"a": peer.entry("a", "127.0.0.1:9")}, True
+        peer.entries, peer.empty_watches = {"a": peer.entry("a", "127.0.0.1:9")}, True
         task, told = await follow(peer, grace=grace)
         assert (await told.get()).whole
         await asyncio.sleep(0.5)
@@ -269,10 +269,10 @@
                 assert (await client.ask(request(number)))[0] == 200
             draining, other = bed.backends
             asked = len(bed.discovery.asked)
-            bed.discovery.mute = calls  # the watch, and the call after it
+            bed.discovery.answers_to_omit = calls  # the watch, and the call after it
             await bed.discovery.change(bed.discovery.entry("b0", draining.address, "DRAINING"))
             await bed.discovery.until_asked(asked + calls + 1)  # one answered call, and the watch after it
-            assert bed.discovery.mute == 0
+            assert bed.discovery.answers_to_omit == 0
             await nothing_goes_to(draining, other, client)
             assert bed.discovery.connections == calls + 1
 
@@ -493,7 +493,7 @@
         bed = Bed(0)
         for peer in (bed.discovery, bed.counter):
             await peer.start()
-        told = bed.told({**roomy_settings(), "balancers": 1024}, 1024)
+        told = bed.configuration({**roomy_settings(), "balancers": 1024}, 1024)
         told["limits"]["memory_mb"] = memory_mb
         program = Program(build_configuration(told, {}))
         await bed.discovery.change(
@@ -502,7 +502,7 @@
         await bed.discovery.until_asked(2)
         assert program.discovery.most_list == most * 1024 * 1024 and len(program.driver.serving) == 1024
         following.cancel()
-        program.driver.reporter.cancel()
+        program.driver.report_timer.cancel()
         program.dialer.close()
         for peer in (bed.discovery, bed.counter):
             await peer.stop()
--- a/tests/test_drain_moment.py
+++ b/tests/test_drain_moment.py
@@ -23,7 +23,7 @@
         if how == "absent":
             del entries[name]
     told = {"generation": 2, "reset": how != "change", "instances": list(entries.values())}
-    bed.program.driver.list_told(read_listing(told))
+    bed.program.driver.on_list(read_listing(told))
 
 
 def others(bed: Bed, name: str) -> list[str]:
@@ -146,7 +146,7 @@
             serving = next(name for name in names if name != waits)
             leave(bed, [name for name in names if name != serving], how)
             assert (await client.answer())[0] == 200
-            assert bed.program.driver.figures.others["attempt no connection"] == 1
+            assert bed.program.driver.figures.other_counts["attempt no connection"] == 1
             assert len(peers[int(serving[1:])].seen) == 1 and len(bed.seen()) == 1
             assert bed.program.driver.serving == {serving}
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -170,8 +170,8 @@
             for number in range(3):
                 await client.ask(request(number, units="8"))
             with caplog.at_level("INFO", logger="embersill"):
-                bed.program.driver.report()
-                bed.program.driver.report()  # nothing since: no line
+                bed.program.driver.log_figures()
+                bed.program.driver.log_figures()  # nothing since: no line
             lines = [re.sub(r"pool waited ms \d+, ", "", line) for line in caplog.messages]
             assert lines == [
                 "attempt served 1, busy 2, gave up over quota 2, list asked 2, pool opened 1, pool waited 1,"
--- a/tests/test_framing_requests.py
+++ b/tests/test_framing_requests.py
@@ -12,7 +12,7 @@
 import pytest
 
 from embersill.net.bodies import MOST_BODY, WHOLE
-from embersill.net.driver import Call, Exchange
+from embersill.net.driver import ClientRequest, Exchange
 from tests.bed import READY, Bed, Client, request, with_bed
 from tests.framing_model import (
     Delivery, End, SpelledBackend, State, check_stream, deliver, read_answer, read_answers,
@@ -329,16 +329,16 @@
     with_bed(test)
 
 
-def record_calls(bed: Bed, monkeypatch: pytest.MonkeyPatch) -> list[Call]:
+def record_calls(bed: Bed, monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
     """The calls that the gateway reads from now on."""
-    taken: list[Call] = []
-    take = bed.program.driver.take
+    taken: list[ClientRequest] = []
+    take = bed.program.driver.accept_request
 
-    def record(call: Call, exchange: Exchange) -> int:
+    def record(call: ClientRequest, exchange: Exchange) -> int:
         taken.append(call)
         return take(call, exchange)
 
-    monkeypatch.setattr(bed.program.driver, "take", record)
+    monkeypatch.setattr(bed.program.driver, "accept_request", record)
     return taken
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
     ListKind, Outcome, PredecessorEnded, PredecessorState, Refuse, Request, Send, Suspend, TimerExpired,
 )
 from embersill.lab.peers import Asked
-from embersill.net.handover import LINK, STATE, Handover
+from embersill.net.handover import SOCKET_NAME, STATE_FILE_NAME, Handover
 from tests.bed import READY, Bed, before, request, roomy_settings, run, running
 from tests.helpers import CAPPED, backend, backends, ended, gateway
 from tests.helpers import request as asked_for
@@ -24,7 +24,7 @@
 
 
 def counted(program: object, kind: str) -> int:
-    return sum(program.driver.figures.ended[kind].values())  # type: ignore[attr-defined]
+    return sum(program.driver.figures.requests_by_result[kind].values())  # type: ignore[attr-defined]
 
 
 def test_a_successor_serves_on_the_same_connections_with_the_same_bans_and_levels(
@@ -48,7 +48,7 @@
             busy.send(request(3, customer="00000000000000c2"))
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 2)
             second = await bed.successor(env, folder)
-            assert second.front.is_ready() and first.handover.gave
+            assert second.front.is_ready() and first.handover.handed_over
             assert first.driver.pool.links and not first.driver.pool.idle()
             new = await bed.client()
             assert (await new.ask(request(4, customer="00000000000000c3")))[0] == 200
@@ -97,17 +97,17 @@
         env, folder = roomy_settings(), str(tmp_path)
         async with running(env=env, folder=folder) as bed:
             second = await bed.successor(env, folder)
-            assert bed.program.handover.gave
+            assert bed.program.handover.handed_over
             await second.front.stop_listening()
             second.handover.close()
             async with asyncio.timeout(SOON):
-                while bed.program.handover.gave:
+                while bed.program.handover.handed_over:
                     await asyncio.sleep(0.01)
             client = await bed.client()
             bed.program.driver.gateway.throttles.clear()
             assert (await client.ask(request(1)))[0] == 200 and counted(bed.program, "success") == 1
             third = await bed.successor(env, folder)
-            assert bed.program.handover.gave and third.front.is_ready()
+            assert bed.program.handover.handed_over and third.front.is_ready()
             await third.stop(0.0, 0.0)
             await second.stop(0.0, 0.0)
 
@@ -124,18 +124,18 @@
         env, folder = roomy_settings(), str(tmp_path)
         async with running(env=env, folder=folder) as bed:
             first, ask = bed.program, functools.partial(told, bed)
-            first.lame_duck = 60.0
+            first.lame_duck_time = 60.0
             client = await bed.client()
             assert (await client.ask(request(1)))[0] == 200
             assert (await ask(first, b"DRAIN"))["phase"] == "lame duck"
             second = await bed.successor(env, folder)
             old, new = await ask(first, b"PHASE"), await ask(second, b"PHASE")
-            assert (old["phase"], old["successor"]) == ("handed over", second.handover.console)
+            assert (old["phase"], old["successor"]) == ("handed over", second.handover.console_address)
             assert (new["phase"], new["ready"]) == ("lame duck", False) and "successor" not in new
-            left, rest = second.duck.left(), first.duck.left()
-            assert left is not None and rest is not None and abs(rest - left) < 1 and first.duck.timer is None
-            assert second.handover.console in await ask(first, b"DRAIN")
-            assert second.handover.console in await ask(first, b"SERVE")
+            left, rest = second.lame_duck.remaining(), first.lame_duck.remaining()
+            assert left is not None and rest is not None and abs(rest - left) < 1 and first.lame_duck.timer is None
+            assert second.handover.console_address in await ask(first, b"DRAIN")
+            assert second.handover.console_address in await ask(first, b"SERVE")
             assert (await ask(second, b"STATUS")).startswith("error a lame duck")
             assert (await client.ask(READY))[0] == 503
             assert (await client.ask(request(2)))[0] == 200 and counted(second, "success") == 1
@@ -144,19 +144,19 @@
             assert (await client.ask(READY))[0] == 200
             assert (await ask(second, b"DRAIN"))["phase"] == "lame duck"
             async with asyncio.timeout(SOON):
-                while first.duck.until is None:
+                while first.lame_duck.ends_at is None:
                     await asyncio.sleep(0.01)
             await second.front.stop_listening()
             second.handover.close()
             async with asyncio.timeout(SOON):
-                while first.handover.gave:
+                while first.handover.handed_over:
                     await asyncio.sleep(0.01)
             took_back = await ask(first, b"PHASE")
             assert took_back["phase"] == "lame duck" and "successor" not in took_back
-            assert first.duck.timer is not None
+            assert first.lame_duck.timer is not None
             assert (await (await bed.client()).ask(request(3)))[0] == 200
             for program in (first, second):
-                program.signalled.set()  # nobody waits for their last words
+                program.signal_received.set()  # nobody waits for their last words
             await second.stop(0.0, 0.0)
 
     run(test)
@@ -176,16 +176,16 @@
             busy = await bed.client()
             busy.send(request(1))
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
-            first.duck.set(60.0)
+            first.lame_duck.set(60.0)
             stopped = asyncio.create_task(first.stop())
             async with asyncio.timeout(SOON):
                 while not first.front.stopping:
                     await asyncio.sleep(0.01)
             second = await bed.successor(env, folder)
-            assert not first.handover.gave and second.front.is_ready() and second.duck.until is None
+            assert not first.handover.handed_over and second.front.is_ready() and second.lame_duck.ends_at is None
             word = await told(bed, first, b"PHASE")
             assert (word["phase"], word["open"], word["successor"]) == (
-                "closing", 1, second.handover.console)
+                "closing", 1, second.handover.console_address)
             assert (await (await bed.client()).ask(request(2)))[0] == 200
             free.set()
             assert (await busy.answer())[0] == 200 and await busy.closed()
@@ -204,9 +204,9 @@
 def test_whatever_is_left_in_the_folder_the_program_starts(state: str | None, tmp_path: pathlib.Path) -> None:
     async def test() -> None:
         if state is not None:
-            (tmp_path / STATE).write_text(state, encoding="utf-8")
+            (tmp_path / STATE_FILE_NAME).write_text(state, encoding="utf-8")
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stale:  # of one that was killed
-            stale.bind(str(tmp_path / LINK))
+            stale.bind(str(tmp_path / SOCKET_NAME))
         async with running(folder=str(tmp_path)) as bed:
             client = await bed.client()
             assert (await client.ask(request(1)))[0] == 200
@@ -232,13 +232,13 @@
                          b'{"version": 1, "say": "lame duck", "left": "x"}',
                          b'{"version": 1, "say": "client"}', b'{"version": 1, "say": "odd"}'):
                 with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as caller:
-                    caller.connect(str(tmp_path / LINK))
+                    caller.connect(str(tmp_path / SOCKET_NAME))
                     caller.send(text)
                     await asyncio.sleep(0.01)
             async with asyncio.timeout(SOON):
-                while bed.program.handover.link is not None:
+                while bed.program.handover.channel is not None:
                     await asyncio.sleep(0.01)
-            assert not bed.program.handover.gave and bed.program.front.is_ready()
+            assert not bed.program.handover.handed_over and bed.program.front.is_ready()
             assert (await (await bed.client()).ask(request(1)))[0] == 200
 
     run(test)
@@ -249,10 +249,10 @@
 ) -> None:
     async def test() -> None:
         env, folder = roomy_settings(), str(tmp_path)
-        monkeypatch.setattr("embersill.net.handover.GIVEN_WITHIN", 0.05)
+        monkeypatch.setattr("embersill.net.handover.TAKE_OVER_TIMEOUT", 0.05)
         async with running(env=env, folder=folder) as bed:
             assert (await bed.console(b"SUSPEND b0\n")).startswith("done ")
-            monkeypatch.setattr(bed.program.handover, "give", lambda: None)
+            monkeypatch.setattr(bed.program.handover, "hand_over", lambda: None)
             second = await bed.successor(env, folder)
             assert second.front.listener is not None and second.driver.gateway.banned == {"b0"}
             await second.stop(0.0, 0.0)
@@ -334,7 +334,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("step", ["give", "move"])
+@pytest.mark.parametrize("step", ["hand_over", "move_connection"])
 @pytest.mark.parametrize("then", ["stays", "leaves"])
 def test_a_request_that_comes_as_its_connection_is_handed_over_is_answered_once(
     step: str, then: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_incident_clock.py
+++ b/tests/test_incident_clock.py
@@ -38,7 +38,7 @@
             stepped = time.time
             monkeypatch.setattr("embersill.__main__.time.time", lambda: stepped() + step)
             second = await bed.successor(env, folder)
-            assert bed.program.handover.gave
+            assert bed.program.handover.handed_over
             made, now = second.driver.gateway, second.driver.clock()
             assert now == pytest.approx(first.clock() + step, abs=0.05)
             throttle = next(iter(made.throttles.values()))
--- a/tests/test_incident_system_calls.py
+++ b/tests/test_incident_system_calls.py
@@ -145,7 +145,7 @@
             refuse_writes(monkeypatch, error)
             assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
             second = await bed.successor(env, folder)
-            assert bed.program.handover.gave
+            assert bed.program.handover.handed_over
             assert second.driver.gateway.banned == {"b1"}
             assert next(iter(second.driver.gateway.throttles.values())).level < 8.0
             await second.stop(0.0, 0.0)
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -22,7 +22,7 @@
 from embersill.net.clients import CallReader
 from embersill.net.counter import read_reply
 from embersill.net.listing import read_listing
-from embersill.net.driver import Call
+from embersill.net.driver import ClientRequest
 from embersill.net.pool import Address, Link, Place, Pool
 from embersill.settings import read_settings
 from tests.helpers import ONCE, OPEN, PLAN, SAFE, SETTINGS, backend, backends, ended, gateway, request
@@ -454,7 +454,7 @@
     return {name.encode(): text.encode() for name, text in headers.items()}
 
 
-def read_call(told: Settings = SETTINGS, client: str = "00000000000000c1", **changes: str) -> Call:
+def read_call(told: Settings = SETTINGS, client: str = "00000000000000c1", **changes: str) -> ClientRequest:
     target = f"/api?client={client}".encode()
     return CallReader(told).read(START, b"GET", target, call_headers(**changes), b"")
 
@@ -471,7 +471,7 @@
     "units=1,spread=2,first=0,guess=no"])
 def test_quota_info_in_other_orders_and_with_more_in_it(text: str) -> None:
     call = read_call(quota_info=text)
-    assert (call.units, call.width, call.first_gateway) == (1.0, 2, 0)
+    assert (call.units, call.gateway_count, call.first_gateway) == (1.0, 2, 0)
 
 
 @pytest.mark.parametrize("name", ["clínica", "cofrestru ŵyl", "plan-0"])
@@ -479,7 +479,7 @@
     """Names come from the settings alone, which are UTF-8; each request of such a class was answered 400."""
     told = replace(SETTINGS, classes=(replace(SAFE, name=name),), plans=(replace(PLAN, name=name),))
     call = read_call(told, x_call_class=name, plan=name)
-    assert (call.klass, call.plan) == (name, name)
+    assert (call.request_class, call.plan) == (name, name)
 
 
 @pytest.mark.parametrize("client", ["00000001ABCDEF12", "00000001abcdef12", "%30000000%31abcdef12"])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from embersill.__main__ import LAST_READ, STILL_COMING
+from embersill.__main__ import FINAL_READ_TIME, ACCEPT_AFTER_SIGTERM
 from embersill.lab.peers import HOST, Asked, free_port
 from embersill.net.clients import SETTLED
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
@@ -79,7 +79,7 @@
     bed.discovery.entries = {"b0": bed.discovery.entry("b0", bed.backends[0].address)}
     bed.port = free_port()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**bed.told(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}", **more}))
+    path.write_text(json.dumps({**bed.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}", **more}))
 
     def limit() -> None:
         if descriptors:
@@ -285,7 +285,7 @@
             late = [await bed.client() for _ in range(2)]
             for number, client in enumerate([kept, *late]):
                 client.send(request(2 + number))
-            await asyncio.sleep(STILL_COMING + LAST_READ)  # past the time in which clients still connect
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM + FINAL_READ_TIME)  # past the time in which clients still connect
             child.send_signal(signal.SIGCONT)
             for client in (kept, *late):
                 status, headers, _ = await client.answer()
@@ -315,8 +315,8 @@
                 return close()
 
             program.front.close_unasked = crossing  # type: ignore[method-assign]
-            program.duck.set(60.0)
-            program.heard_last.set()
+            program.lame_duck.set(60.0)
+            program.final_state_reported.set()
             await program.stop()
             status, headers, _ = await client.answer()
             assert status == 200 and headers["connection"] == "close" and len(bed.seen()) == 2
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from embersill.__main__ import BEFORE_KILL, KILL_AFTER, LONGEST_COUNTED, Program
+from embersill.__main__ import KILL_MARGIN, KILL_DELAY, MAX_COUNTED_DEADLINE, Program
 from embersill.lab.peers import Asked
 from embersill.net.clients import ACCEPTS, SETTLED
-from embersill.net.driver import LEAST_LEFT
+from embersill.net.driver import MIN_REMAINING_TIME
 from tests.bed import READY, Bed, before, request, roomy_settings, with_bed
 from tests.peers import SOON
 
@@ -33,7 +33,7 @@
     return answer[0] == 503 and float(answer[1]["retry-after"]) > 0
 
 
-@pytest.mark.parametrize("step", ["rescue_all", "settle"])
+@pytest.mark.parametrize("step", ["fail_all_unanswered", "flush_counts"])
 def test_a_request_read_after_the_last_moment_is_refused_and_not_sent_on(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -57,9 +57,9 @@
             assert (await client.ask(READY))[0] == 200
         bed.program.front.stopping = True
         driver, clock = bed.program.driver, bed.program.driver.clock
-        driver.ends_at = clock() + 60.0
+        driver.stop_deadline = clock() + 60.0
         assert (await first.ask(request(1)))[0] == 200
-        driver.ends_at = clock() + LEAST_LEFT / 2
+        driver.stop_deadline = clock() + MIN_REMAINING_TIME / 2
         assert refused_with_advice(await late.ask(request(2))) and await late.closed()
         assert len(bed.seen()) == 1 and not driver.pending
         body = b"x" * 100_000  # the same for one whose body is passed on as it comes
@@ -74,8 +74,8 @@
     """With deadlines of 1 s the kill may come 1.7 s after SIGTERM; the end took up to 3.4 s."""
     async def test(bed: Bed) -> None:
         program = bed.program
-        kill = min(deadline, LONGEST_COUNTED) + KILL_AFTER
-        assert program.all_answered == pytest.approx(kill - BEFORE_KILL)
+        kill = min(deadline, MAX_COUNTED_DEADLINE) + KILL_DELAY
+        assert program.stop_timeout == pytest.approx(kill - KILL_MARGIN)
         bed.backends[0].script = [silent] * 100
         clients = [await bed.client() for _ in range(2)]
         clients[0].send(request(1, budget=deadline))
@@ -166,7 +166,7 @@
         client = await bed.client()
         client.send(request(1))
         stop = asyncio.create_task(program.stop(0.05, 1.0))
-        program.end()
+        program.request_stop()
         program.reload()
         assert (await client.answer())[0] == 200
         await stop
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -9,7 +9,7 @@
 import pytest
 
 from embersill.lab.peers import message
-from embersill.net.trace import BURST, LoopLag, Trace, make_trace
+from embersill.net.trace import BURST_LINES, LoopLag, Trace, make_trace
 from tests.bed import Bed, request, with_bed
 
 
@@ -67,12 +67,12 @@
     caplog.set_level(logging.INFO, "embersill.trace")
     now = [100.0]
     trace = Trace(lambda: now[0])
-    for _ in range(int(BURST) + 50):
+    for _ in range(int(BURST_LINES) + 50):
         trace.note("something")
     now[0] += 1.0
     trace.note("later")
     told = events(caplog)
-    assert len(told) == BURST + 1 and told[-1]["left_out"] == "50"
+    assert len(told) == BURST_LINES + 1 and told[-1]["left_out"] == "50"
 
 
 def test_it_is_off_unless_it_is_asked_for() -> None:
@@ -83,5 +83,5 @@
 def test_lag_is_counted_by_the_step_that_it_reaches() -> None:
     lag = LoopLag()
     for seconds in (-0.001, 0.004, 0.02, 0.049, 0.3):
-        lag.note(seconds)
+        lag.record(seconds)
     assert lag.counts == {"loop late 20 ms": 2, "loop late 200 ms": 1}
