--- a/embersill/net/console.py
+++ b/embersill/net/console.py
@@ -1,7 +1,8 @@
-"""The console: one line in, one answer out, on connections that nobody can hold for long.
+"""The operators' console: one command line in, one answer out, per connection.
 
-It shares the loop with the traffic and nothing else: its callers are few, their lines short, and the one that
-has waited longest for the end of its line goes when another comes.
+It shares the event loop with the traffic and nothing else. There are few callers and their lines are short.
+At the limit on connections a new one replaces one that already has its answer, or else the oldest, so that
+nobody can hold the console for long.
 """
 
 from __future__ import annotations
@@ -12,21 +13,22 @@
 
 from embersill.net.listening import open_listener
 
-MAX_CONSOLE_CONNECTIONS = 16  # connections at a time; their descriptors are reserved
-MAX_LINE_LENGTH = 512  # bytes of a call: a backend's id is the longest part of it
-LINE_TIMEOUT = 2.0  # seconds for the line to come whole
-LINGER = 1.0  # seconds for the caller to read its answer before the connection goes
+MAX_CONSOLE_CONNECTIONS = 16  # open at once; their descriptors are reserved
+MAX_LINE_LENGTH = 512  # bytes of a command line: the id of a backend is its longest part
+LINE_TIMEOUT = 2.0  # seconds for the complete line to be received
+LINGER = 1.0  # seconds for the caller to read its answer before the connection is aborted
 BACKLOG = 128
 
-CommandHandler = Callable[[list[str]], Awaitable[str]]  # a call's words after its name; what is answered, or Refused
+# Gets the words after the command's name, returns the answer; raises CommandRejected.
+CommandHandler = Callable[[list[str]], Awaitable[str]]
 
 
 class CommandRejected(Exception):
-    """The reason for which a call gets `error`."""
+    """The command is answered with `error` and this reason."""
 
 
 class ConsoleConnection(asyncio.Protocol):
-    """One connection, for one call."""
+    """A connection that carries one command and its answer."""
 
     def __init__(self, console: Console) -> None:
         self.console = console
@@ -37,14 +39,14 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's has its methods but another base
         self.console.add_connection(self)
         self.timer = self.console.loop.call_later(
             LINE_TIMEOUT, self.answer, "error no whole line came in time")
 
     def data_received(self, data: bytes) -> None:
         if self.answered or self.command_task:
-            return  # read only so that the answer is not lost to a reset
+            return  # discarded; unread data would reset the connection and lose the answer
         line, ended, _ = (self.line + data).partition(b"\n")
         self.line = line[:MAX_LINE_LENGTH + 1]
         if len(line) > MAX_LINE_LENGTH:
@@ -57,15 +59,15 @@
             self.answer("error no call came")
         elif not self.command_task:
             self.run_command(self.line)
-        return True  # the answer has to go out yet
+        return True  # keeps the connection open for the answer
 
     def run_command(self, line: bytes) -> None:
         self.command_task = self.console.loop.create_task(self.console.execute(line))
         self.command_task.add_done_callback(self.on_command_done)
 
-    def on_command_done(self, asked: asyncio.Task[str]) -> None:
-        if not asked.cancelled():
-            self.answer(asked.result())
+    def on_command_done(self, command_task: asyncio.Task[str]) -> None:
+        if not command_task.cancelled():
+            self.answer(command_task.result())
 
     def answer(self, text: str) -> None:
         if self.answered or self.transport is None:
@@ -84,6 +86,7 @@
         self.console.connections.pop(self, None)
 
     def evict(self) -> None:
+        """Closes the connection at once, so that another can be accepted."""
         if self.transport is not None:
             self.answer("error too many callers")
             self.transport.abort()
@@ -91,28 +94,30 @@
 
 
 class Console:
-    """Listens for calls and answers them by the table that it is given."""
+    """Accepts connections and runs their commands by the table that it is given."""
 
-    def __init__(self, calls: Mapping[str, CommandHandler]) -> None:
-        self.commands = calls
+    def __init__(self, commands: Mapping[str, CommandHandler]) -> None:
+        self.commands = commands
         self.loop = asyncio.get_running_loop()
-        self.connections: dict[ConsoleConnection, None] = {}  # in the order of their coming
+        self.connections: dict[ConsoleConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: tuple[str, int]) -> str:
-        """Begins to listen; where it does then, as host:port."""
+        """Starts to listen and returns the address as host:port; OSError if that is impossible."""
         listener = await open_listener(address, BACKLOG)
-        self.server = await self.loop.create_server(lambda: ConsoleConnection(self), sock=listener, backlog=BACKLOG)
+        self.server = await self.loop.create_server(
+            lambda: ConsoleConnection(self), sock=listener, backlog=BACKLOG)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
-    def add_connection(self, caller: ConsoleConnection) -> None:
+    def add_connection(self, connection: ConsoleConnection) -> None:
         if len(self.connections) >= MAX_CONSOLE_CONNECTIONS:
-            done = [c for c in self.connections if c.answered]  # these had their answer and only linger
-            (done or list(self.connections))[0].evict()
-        self.connections[caller] = None
+            answered = [c for c in self.connections if c.answered]  # open only until the caller has read
+            (answered or list(self.connections))[0].evict()
+        self.connections[connection] = None
 
     async def execute(self, line: bytes) -> str:
+        """Runs a command line and returns the answer."""
         try:
             words = line.decode("ascii").split()
             if not words or words[0] not in self.commands:
@@ -126,6 +131,6 @@
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for caller in list(self.connections):
-            if caller.transport is not None:
-                caller.transport.close()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.close()
--- a/embersill/net/lameduck.py
+++ b/embersill/net/lameduck.py
@@ -1,4 +1,4 @@
-"""A lame duck's time: the gateway serves all that comes, says that it is not ready, and then ends."""
+"""Lame duck period: the gateway still serves, reports that it is not ready, and exits when the time is up."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 
 
 class LameDuck:
-    """The time until the process is to end, if it is a lame duck. A successor goes on with it."""
+    """The time until a draining process exits. A successor continues it.
 
-    def __init__(self, clock: Callable[[], float], front: Front, over: Callable[[], None]) -> None:
-        self.clock, self.front, self.on_expired = clock, front, over
+    on_expired: called when the time is up
+    """
+
+    def __init__(self, clock: Callable[[], float], front: Front, on_expired: Callable[[], None]) -> None:
+        self.clock, self.front, self.on_expired = clock, front, on_expired
         self.loop = asyncio.get_running_loop()
         self.ends_at: float | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def remaining(self) -> float | None:
-        """Seconds until it ends, or None where it is no lame duck."""
+        """Returns the seconds until the process exits, or None if it is not a lame duck."""
         return None if self.ends_at is None else max(self.ends_at - self.clock(), 0.0)
 
-    def set(self, left: float | None) -> None:
-        """Makes it one for so many seconds, or with None takes that back."""
+    def set(self, remaining: float | None) -> None:
+        """Makes the process a lame duck for `remaining` seconds; None ends the lame duck period."""
         self.stop_timer()
-        self.front.leaving = left is not None
-        self.ends_at = None if left is None else self.clock() + left
+        self.front.leaving = remaining is not None
+        self.ends_at = None if remaining is None else self.clock() + remaining
         self.start_timer()
 
     def stop_timer(self) -> None:
-        """A successor keeps the time from now on."""
+        """Leaves the timing to the successor."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def start_timer(self) -> None:
-        left = self.remaining()
-        if left is not None:
-            self.timer = self.loop.call_later(left, self.on_expired)
+        remaining = self.remaining()
+        if remaining is not None:
+            self.timer = self.loop.call_later(remaining, self.on_expired)
--- a/embersill/net/trace.py
+++ b/embersill/net/trace.py
@@ -1,7 +1,7 @@
-"""The trace of single requests and of changes of state: a line of `name=value` pairs for each event.
+"""Trace of single requests and of changes of state: one line of `name=value` pairs per event.
 
-Off unless the environment variable EMBERSILL_TRACE is 1. At most LINES_PER_SECOND lines are written; what is
-left out is counted, and the count is told with the next line.
+It is off unless the environment variable EMBERSILL_TRACE is 1. At most LINES_PER_SECOND lines are written;
+further ones are dropped, and the next line reports their number.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 ENVIRONMENT_VARIABLE = "EMBERSILL_TRACE"
 LINES_PER_SECOND = 2000.0  # a busy gateway writes some hundred: a flood must not fill a disk
-BURST_LINES = 4000.0  # lines that may come at once
-LAG_BOUNDS_MS = (5, 20, 50, 100, 200, 500)  # of the loop's lag, for its histogram
+BURST_LINES = 4000.0  # lines that may be written at once
+LAG_BOUNDS_MS = (5, 20, 50, 100, 200, 500)  # lower bounds of the loop lag histogram's buckets
 
 log = logging.getLogger("embersill.trace")
 
 
 class Trace:
-    """Writes the trace's lines, as many as its rate allows."""
+    """Writes trace lines within the rate limit."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -27,7 +27,7 @@
         self.dropped_lines = 0
 
     def note(self, event: str, **fields: object) -> None:
-        """One event; floats are seconds."""
+        """Writes one event. Floats are in seconds."""
         now = self.clock()
         self.tokens = min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at))
         self.refilled_at = now
@@ -48,12 +48,12 @@
 
 
 def make_trace(environ: Mapping[str, str], clock: Callable[[], float]) -> Trace | None:
-    """The trace, where the environment asks for it."""
+    """Returns a trace if the environment asks for one, else None."""
     return Trace(clock) if environ.get(ENVIRONMENT_VARIABLE) == "1" else None
 
 
 class LoopLag:
-    """How late the loop's timers came, in steps of LAG_BOUNDS_MS; what comes in time is not counted."""
+    """Histogram of how late the loop's timers ran. A lag below the lowest of LAG_BOUNDS_MS is not counted."""
 
     def __init__(self) -> None:
         self.counts: Tally[str] = Tally()
