--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway: reads its configuration, again on SIGHUP, starts the parts, and stops in order on SIGTERM."""
+"""The gateway program: starts the gateway's parts, reloads the configuration on SIGHUP, stops on SIGTERM."""
 
 from __future__ import annotations
 
@@ -36,42 +36,54 @@
 if TYPE_CHECKING:
     from embersill.net.aggregation import AggregatorRouter
 
-RESERVED_DESCRIPTORS = 48 + MAX_CONSOLE_CONNECTIONS  # descriptors kept for the listeners, discovery, the counter, the console's
-# callers, and what the run-time itself needs
-MAX_RESERVED_SHARE = 0.25  # of the descriptors, at most, that this may be
-MAX_AGGREGATOR_SOCKETS = 64  # descriptors kept besides for aggregators and their list, where these are configured
-MAX_AGGREGATOR_SHARE = 0.125  # of the descriptors, at most, that these may be
-LATE_AGGREGATOR_SHARE = 0.25  # of the reserve for aggregators that a running gateway is told of: no other is free
-MIN_SOCKETS = 32  # with fewer there is nothing left to serve with
-CLIENT_SHARE = 0.6  # of the other descriptors: held requests need none at the backends' side
-MB = 1024 * 1024
-DEFAULT_MEMORY_MB = 32  # MB, where the configuration does not tell
-BASE_MEMORY = 20 * MB  # what the run-time and the program hold without any traffic, and a little
-BODY_MEMORY_SHARE = 0.5  # of the rest that bodies on their way may fill, with all clients at it, both ways
-MIN_BUFFER_SIZE, MAX_BUFFER_SIZE = 8 * 1024, 64 * 1024  # bytes that may wait for a peer
-FIRST_LIST_TIMEOUT = 0.3  # seconds to wait for discovery's own word before the remembered list must do
-ACCEPT_AFTER_SIGTERM = 0.5  # seconds after SIGTERM in which clients still connect, by the protocol, and a little
-KILL_DELAY, MAX_COUNTED_DEADLINE = 0.7, 3.0  # SIGKILL follows SIGTERM no sooner than the longest deadline, counted
-# as 3 s where it is longer, and 0.7 s more
-KILL_MARGIN = 0.3  # seconds before that by which all is answered
-DEFAULT_LAME_DUCK_TIME = 5.0  # seconds of it, where the configuration does not tell: fronts notice in some four
-CONSOLE_LINGER = 30.0  # seconds after a drain for which the console is there to tell that nothing is open
-CONSOLE_LINGER_HANDED_OVER = 1.0  # and to tell where a lame duck's successor is: an upgrade's kill may be near
-DRAIN_TIMEOUT = 600.0  # seconds that a drain may wait for what runs: a body of 32 MB at 64 kB a second
-CLOSE_POLL_INTERVAL = 0.02  # seconds between looks for connections that fell idle
-FINAL_READ_TIME = 0.15  # seconds in which the last connections taken in bring what was already sent on them
-FINAL_WRITE_TIMEOUT = 0.25  # seconds for clients to take what was written to them
-
-
+# Descriptors reserved for the listeners, discovery, the counter, the console's connections and the runtime.
+RESERVED_DESCRIPTORS = 48 + MAX_CONSOLE_CONNECTIONS
+MAX_RESERVED_SHARE = 0.25  # fraction of all descriptors that RESERVED_DESCRIPTORS may take
+MAX_AGGREGATOR_SOCKETS = 64  # further descriptors, reserved for aggregators and their list if configured
+MAX_AGGREGATOR_SHARE = 0.125  # fraction of all descriptors that MAX_AGGREGATOR_SOCKETS may take
+# Fraction of the reserved descriptors for aggregators that a reload adds, as no others are free by then.
+LATE_AGGREGATOR_SHARE = 0.25
+MIN_SOCKETS = 32  # descriptors; with fewer there are none left to serve with
+CLIENT_SHARE = 0.6  # fraction of the other descriptors for clients: waiting requests need none to backends
+MB = 1024 * 1024  # bytes
+DEFAULT_MEMORY_MB = 32
+BASE_MEMORY = 20 * MB  # bytes used by the runtime and the program without traffic, with a margin
+# Fraction of the other memory for bodies that are buffered in both directions, with all clients connected.
+BODY_MEMORY_SHARE = 0.5
+MIN_BUFFER_SIZE, MAX_BUFFER_SIZE = 8 * 1024, 64 * 1024  # bytes buffered for one peer
+FIRST_LIST_TIMEOUT = 0.3  # seconds to wait for discovery's list before the cached list is used
+# Seconds after SIGTERM in which clients still connect: the time that the protocol allows them, with a margin.
+ACCEPT_AFTER_SIGTERM = 0.5
+# Seconds: SIGKILL follows SIGTERM no earlier than after the longest deadline, or MAX_COUNTED_DEADLINE if that
+# is shorter, and KILL_DELAY more.
+KILL_DELAY, MAX_COUNTED_DEADLINE = 0.7, 3.0
+KILL_MARGIN = 0.3  # seconds before SIGKILL by which all requests are answered
+DEFAULT_LAME_DUCK_TIME = 5.0  # seconds; load balancers notice the lame duck in some four
+CONSOLE_LINGER = 30.0  # seconds after a drain for which the console still reports that nothing is open
+# Seconds for which the console still reports a lame duck's successor: the upgrade may kill this process soon.
+CONSOLE_LINGER_HANDED_OVER = 1.0
+DRAIN_TIMEOUT = 600.0  # seconds that a drain waits for open requests: a body of 32 MB takes 512 at 64 kB/s
+CLOSE_POLL_INTERVAL = 0.02  # seconds between checks for connections that became idle
+FINAL_READ_TIME = 0.15  # seconds to read requests already sent on the connections that were accepted last
+FINAL_WRITE_TIMEOUT = 0.25  # seconds for clients to read their answers
 log = logging.getLogger("embersill")
 
 
 class BadConfiguration(Exception):
-    """The gateway can't start with what it was told."""
+    """The configuration is invalid: the gateway can't start with it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
+    """Configuration of this process, from its file and environment.
+
+    sockets: descriptors that it may use
+    known: cached list of backends
+    lame_duck_time: seconds from the start of a drain until no more requests are accepted
+    state_directory: for the hand-over, private to this gateway; a predecessor may have left files there
+    aggregators: addresses of the aggregators' list service; empty if none are used
+    """
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[Address, ...]  # the first is preferred
@@ -83,20 +95,23 @@
     known: Listing
     settings: Settings
     limits: Limits
-    lame_duck_time: float  # seconds between a drain's begin and the end of taking requests
-    state_directory: str | None  # private to this gateway: a process that ran before may have left something there
-    aggregators: tuple[Address, ...] = ()  # the list service of the aggregators, if there are any
+    lame_duck_time: float
+    state_directory: str | None
+    aggregators: tuple[Address, ...] = ()
 
 
 def read_configuration(environ: dict[str, str]) -> Configuration:
-    """RELAY_CONFIG's file; the other variables hold parts of it and go before it where they are set."""
+    """Reads the file that RELAY_CONFIG names; the other RELAY_ variables override parts of it.
+
+    Raises BadConfiguration, with a message of one line.
+    """
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise BadConfiguration("RELAY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-        return build_configuration(told, environ)
+            parsed = json.load(file)
+        return build_configuration(parsed, environ)
     except OSError as error:
         raise BadConfiguration(f"{path}: {error.strerror}") from error
     except KeyError as error:
@@ -105,126 +120,136 @@
         raise BadConfiguration(f"{path}: {' '.join(str(error).split())}") from error
 
 
-def build_configuration(told: dict[str, Any], environ: dict[str, str]) -> Configuration:
+def build_configuration(parsed: dict[str, Any], environ: dict[str, str]) -> Configuration:
     settings = replace(
-        read_settings(told["settings"]), pool=read_pool(told.get("pool", {})),
-        aggregation=read_aggregation(told.get("aggregation")))
-    counter = read_address(told["counter"]) if settings.counter else None
-    console = environ.get("RELAY_CONSOLE") or told.get("console")
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = min(int(told["limits"]["sockets"]), soft)
+        read_settings(parsed["settings"]), pool=read_pool(parsed.get("pool", {})),
+        aggregation=read_aggregation(parsed.get("aggregation")))
+    counter = read_address(parsed["counter"]) if settings.counter else None
+    console = environ.get("RELAY_CONSOLE") or parsed.get("console")
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    sockets = min(int(parsed["limits"]["sockets"]), soft_limit)
     if sockets < MIN_SOCKETS:
         raise ValueError(f"limits: sockets is below {MIN_SOCKETS}")
     return Configuration(
-        name=str(environ.get("RELAY_NAME") or told["name"]),
-        listen=read_address(environ.get("RELAY_LISTEN") or told["listen"]),
-        discovery=read_addresses(environ.get("RELAY_DISCOVERY") or told["discovery"]),
+        name=str(environ.get("RELAY_NAME") or parsed["name"]),
+        listen=read_address(environ.get("RELAY_LISTEN") or parsed["listen"]),
+        discovery=read_addresses(environ.get("RELAY_DISCOVERY") or parsed["discovery"]),
         counter=counter, console=read_address(console) if console else None,
-        seed=int(told["seed"], 16), sockets=sockets,
-        memory_mb=float(told["limits"].get("memory_mb", DEFAULT_MEMORY_MB)),
-        known=read_listing(told["known"], ListKind.CACHED), settings=settings,
-        limits=read_limits(told["settings"]), lame_duck_time=read_lame_duck(told),
+        seed=int(parsed["seed"], 16), sockets=sockets,
+        memory_mb=float(parsed["limits"].get("memory_mb", DEFAULT_MEMORY_MB)),
+        known=read_listing(parsed["known"], ListKind.CACHED), settings=settings,
+        limits=read_limits(parsed["settings"]), lame_duck_time=read_lame_duck(parsed),
         state_directory=environ.get("TMPDIR") or None, aggregators=read_aggregators(settings),
     )
 
 
 def read_aggregators(settings: Settings) -> tuple[Address, ...]:
-    """Where the aggregators are listed; nowhere, unless the configuration says so."""
+    """Returns the addresses of the aggregators' list service, () if none is configured."""
     if settings.aggregation is None or not settings.aggregation.directory:
         return ()
     if not settings.counter:
-        raise ValueError("aggregation: directory is told, and the settings have no counter")
+        raise ValueError("aggregation: directory is set, but the settings have no counter")
     return read_addresses(settings.aggregation.directory)
 
 
-def read_lame_duck(told: dict[str, Any]) -> float:
-    value = told.get("lame_duck_s", DEFAULT_LAME_DUCK_TIME)
+def read_lame_duck(parsed: dict[str, Any]) -> float:
+    value = parsed.get("lame_duck_s", DEFAULT_LAME_DUCK_TIME)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= 3600:
-        raise ValueError("lame_duck_s is no number of seconds up to an hour")
+        raise ValueError("lame_duck_s must be a number of seconds from 0 to 3600")
     return float(value)
 
 
 def start_clock() -> Callable[[], float]:
-    """Unix time that never jumps: periods and backends' starts are told by it at every gateway alike."""
-    began = time.time() - time.monotonic()
+    """Returns a clock of Unix time that is never stepped.
+
+    All gateways must agree on it, for the counter's periods and the start times of backends.
+    """
+    offset = time.time() - time.monotonic()
     monotonic = time.monotonic
-    return lambda: began + monotonic()
+    return lambda: offset + monotonic()
 
 
 class Program:
     """The parts of one gateway, from start to stop."""
 
-    def __init__(self, told: Configuration) -> None:
+    def __init__(self, configuration: Configuration) -> None:
         clock = start_clock()
         self.loop = asyncio.get_running_loop()
-        reserve = min(RESERVED_DESCRIPTORS, int(told.sockets * MAX_RESERVED_SHARE))
+        reserve = min(RESERVED_DESCRIPTORS, int(configuration.sockets * MAX_RESERVED_SHARE))
         self.aggregator_sockets = int(reserve * LATE_AGGREGATOR_SHARE)
-        free = told.sockets - reserve
-        if told.aggregators:
-            self.aggregator_sockets = min(MAX_AGGREGATOR_SOCKETS, int(told.sockets * MAX_AGGREGATOR_SHARE))
+        free = configuration.sockets - reserve
+        if configuration.aggregators:
+            self.aggregator_sockets = min(
+                MAX_AGGREGATOR_SOCKETS, int(configuration.sockets * MAX_AGGREGATOR_SHARE))
             free -= self.aggregator_sockets
         clients = int(free * CLIENT_SHARE)
         self.dialer = Dialer(
-            clock, told.limits.dial_timeout, told.limits.keepalive, free - clients, told.settings.pool,
-            told.seed)
-        self.driver = Driver(Gateway(told.settings, told.seed, clock()), clock, self.dialer)
+            clock, configuration.limits.dial_timeout, configuration.limits.keepalive, free - clients,
+            configuration.settings.pool, configuration.seed)
+        self.driver = Driver(Gateway(configuration.settings, configuration.seed, clock()), clock, self.dialer)
         self.driver.use_trace(make_trace(os.environ, clock))
-        self.aggregators = told.aggregators
-        self.driver.counter = self.make_counter(told)
-        self.driver.on_list(told.known)
-        version = told.known.generation if told.known.entries else None
+        self.aggregators = configuration.aggregators
+        self.driver.counter = self.make_counter(configuration)
+        self.driver.on_list(configuration.known)
+        version = configuration.known.generation if configuration.known.entries else None
         self.discovery = Discovery(
-            told.discovery, told.limits.dial_timeout, self.driver.on_list, version, told.seed,
-            told.settings.gateways, told.limits.grace if told.settings.list_pushed else None,
-            told.known.entries)
-        if len(told.known.entries) > SLICE:
-            list_decoder()  # now, and not when the first long list has come
+            configuration.discovery, configuration.limits.dial_timeout, self.driver.on_list, version,
+            configuration.seed, configuration.settings.gateways,
+            configuration.limits.grace if configuration.settings.list_pushed else None,
+            configuration.known.entries)
+        if len(configuration.known.entries) > SLICE:
+            list_decoder()  # loaded now, so that the first long list is not delayed
         self.driver.list_figures = self.discovery.figures
-        memory = max(told.memory_mb * MB - BASE_MEMORY, 0)
+        memory = max(configuration.memory_mb * MB - BASE_MEMORY, 0)
         self.discovery.most_list = int(min(max(memory / LIST_COST, LEAST_LIST), MOST_LIST))
-        if len(told.discovery) > 1:
+        if len(configuration.discovery) > 1:
             self.driver.list_age = self.discovery.age
-        room = memory * BODY_MEMORY_SHARE / (2 * clients)
-        share = int(min(max(room, MIN_BUFFER_SIZE), MAX_BUFFER_SIZE))
-        self.front = Front(self.driver, told.settings, clock, clients, self.can_serve, share)
-        self.stop_requested = asyncio.Event()  # it is to end, by a signal or at the end of a lame duck's time
+        memory_per_peer = memory * BODY_MEMORY_SHARE / (2 * clients)
+        buffer_size = int(min(max(memory_per_peer, MIN_BUFFER_SIZE), MAX_BUFFER_SIZE))
+        self.front = Front(
+            self.driver, configuration.settings, clock, clients, self.can_serve, buffer_size)
+        self.stop_requested = asyncio.Event()  # by a signal, or as the lame duck period has ended
         self.lame_duck = LameDuck(clock, self.front, self.stop_requested.set)
-        self.handover = Handover(told.state_directory, self.driver, self.front, self.lame_duck)
-        longest = max((c.deadline for c in told.settings.classes), default=MAX_COUNTED_DEADLINE)
+        self.handover = Handover(configuration.state_directory, self.driver, self.front, self.lame_duck)
+        longest = max((c.deadline for c in configuration.settings.classes), default=MAX_COUNTED_DEADLINE)
         self.stop_timeout = min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN
-        self.listen_address, self.console_address = told.listen, told.console
+        self.listen_address, self.console_address = configuration.listen, configuration.console
         self.console = Console({
             "STATUS": self.status, "METRICS": self.metrics, "SUSPEND": self.suspend, "RESTORE": self.restore,
-            "OUT": self.report_in_flight, "PHASE": self.report_phase, "DRAIN": self.drain, "SERVE": self.end_lame_duck})
-        self.lame_duck_time, self.started_at = told.lame_duck_time, clock()
-        self.finished = False  # nothing is open any more, and only the console is left
+            "OUT": self.report_in_flight, "PHASE": self.report_phase, "DRAIN": self.drain,
+            "SERVE": self.end_lame_duck})
+        self.lame_duck_time, self.started_at = configuration.lame_duck_time, clock()
+        self.finished = False  # nothing is open any more but the console
         self.signal_received = asyncio.Event()
-        self.final_state_reported = asyncio.Event()  # staff were told that nothing is open any more, or of a successor
+        # an operator has got the answer that nothing is open any more, or where the successor is
+        self.final_state_reported = asyncio.Event()
         self.discovery_task: asyncio.Task[None] | None = None
-        self.list_settled = False  # the list is discovery's own, or as good as can be had
+        self.list_settled = False  # the list is from discovery, or that was waited for long enough
 
-    def make_counter(self, told: Configuration) -> CounterClient | None:
-        """What makes the counter calls: over aggregators where these are configured."""
-        clock, patience, dial = self.driver.clock, told.settings.counter_timeout, told.limits.dial_timeout
-        if told.counter is None:
+    def make_counter(self, configuration: Configuration) -> CounterClient | None:
+        """Returns the client for counter calls, which go to aggregators if these are configured."""
+        clock, timeout, dial_timeout = (
+            self.driver.clock, configuration.settings.counter_timeout, configuration.limits.dial_timeout)
+        if configuration.counter is None:
             return None
-        if not told.aggregators:
-            return Counter(clock, told.counter, patience, dial, self.driver.on_counter_call_ended)
-        from embersill.net.aggregation import AggregatorRouter  # loaded only where it is used
+        if not configuration.aggregators:
+            return Counter(
+                clock, configuration.counter, timeout, dial_timeout, self.driver.on_counter_call_ended)
+        from embersill.net.aggregation import AggregatorRouter  # loaded only if used
         return AggregatorRouter(
-            clock, told.aggregators, patience, dial, self.driver.on_counter_call_ended, self.aggregator_sockets,
-            told.seed, told.settings.gateways)
+            clock, configuration.aggregators, timeout, dial_timeout, self.driver.on_counter_call_ended,
+            self.aggregator_sockets, configuration.seed, configuration.settings.gateways)
 
     def can_serve(self) -> bool:
         return self.list_settled and bool(self.driver.serving)
 
-    # what the console is asked
+    # commands of the console
 
     async def status(self, words: list[str]) -> str:
         expect_no_arguments(words)
-        left = self.lame_duck.remaining()
-        if left is not None and not self.front.stopping:
-            raise CommandRejected(f"a lame duck, which ends in {left:.1f} s")
+        remaining = self.lame_duck.remaining()
+        if remaining is not None and not self.front.stopping:
+            raise CommandRejected(f"a lame duck, which ends in {remaining:.1f} s")
         if not self.front.is_ready():
             raise CommandRejected("stopping" if self.front.stopping else "not ready to serve")
         self.reject_if_handed_over()
@@ -239,7 +264,7 @@
         if not self.driver.suspend(backend):
             raise CommandRejected(f"{backend} was never listed")
         await self.handover.share_suspension("suspend", backend)
-        log.info("%s is taken out by hand", backend)
+        log.info("%s was suspended by an operator", backend)
         return f"done {backend} is taken out"
 
     async def restore(self, words: list[str]) -> str:
@@ -247,20 +272,20 @@
         if not self.driver.restore(backend):
             raise CommandRejected(f"{backend} was never listed")
         await self.handover.share_suspension("restore", backend)
-        log.info("%s may serve again", backend)
+        log.info("the suspension of %s was ended by an operator", backend)
         return f"done {backend} may serve again"
 
     async def report_in_flight(self, words: list[str]) -> str:
         backend = expect_backend_id(words)
-        told = {"state": self.driver.backend_state(backend), "out": self.driver.attempts_in_flight(backend),
-                "list": self.discovery.newest}
-        return self.format_done(told)
+        answer = {"state": self.driver.backend_state(backend), "out": self.driver.attempts_in_flight(backend),
+                  "list": self.discovery.newest}
+        return self.format_done(answer)
 
-    def format_done(self, told: dict[str, Any]) -> str:
-        """An answer of one JSON object; staff go on to the successor that it names."""
+    def format_done(self, answer: dict[str, Any]) -> str:
+        """Returns an answer of one JSON object; it names the successor for the operator to go on with."""
         if self.handover.successor_console:
-            told["successor"] = self.handover.successor_console
-        return f"done {json.dumps(told)}"
+            answer["successor"] = self.handover.successor_console
+        return f"done {json.dumps(answer)}"
 
     def phase(self) -> str:
         if self.handover.handed_over:
@@ -278,13 +303,13 @@
             "clients": len(self.front.connections), "started": self.started_at})
 
     async def drain(self, words: list[str]) -> str:
-        """Begins a lame duck's time, once: it may be said again."""
+        """Starts the lame duck period; a repeated command changes nothing."""
         expect_no_arguments(words)
         self.reject_if_handed_over()
         if self.phase() == "serving" and not self.stop_requested.is_set():
             self.lame_duck.set(self.lame_duck_time)
             self.handover.send_lame_duck()
-            log.info("a lame duck for %.1f s, then it ends", self.lame_duck_time)
+            log.info("lame duck for %.1f s, then the process exits", self.lame_duck_time)
         return await self.report_phase([])
 
     async def end_lame_duck(self, words: list[str]) -> str:
@@ -295,7 +320,7 @@
         if self.lame_duck.ends_at is not None:
             self.lame_duck.set(None)
             self.handover.send_lame_duck()
-            log.info("no lame duck any more")
+            log.info("the lame duck period was cancelled")
         return await self.report_phase([])
 
     def reject_if_handed_over(self) -> None:
@@ -311,14 +336,17 @@
             self.loop.add_signal_handler(number, self.request_stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.start()
-        gc.freeze()  # what start-up made stays: no need to look through it again
+        gc.freeze()  # the objects of the start-up stay, so the collector need not scan them
         await self.stop_requested.wait()
         await self.stop()
 
     async def wait_until_idle(self, at_most: float, signal_ends: bool = False) -> None:
-        """Waits until all is answered and each connection was closed as it fell idle.
+        """Waits until all requests are answered and all connections are closed, each as it becomes idle.
+
+        A connection with unread data is read first, so that it is not closed under a request.
 
-        One on which something has come is read first, so that no request is crossed.
+        at_most: seconds to wait
+        signal_ends: stop waiting at SIGTERM
         """
         end = self.driver.clock() + at_most
         while not self.front.close_unasked() or self.driver.unanswered:
@@ -327,30 +355,32 @@
             await asyncio.sleep(CLOSE_POLL_INTERVAL)
 
     async def linger(self) -> None:
-        """After a drain staff hear that nothing is open, or of the successor that goes on with it.
+        """Keeps the console open after a drain until it has reported that nothing is open, or the successor.
 
-        A console that is only gone could be a crash's.
+        If the console were just closed, an operator could not tell a finished drain from a crash.
         """
-        handed = self.handover.handed_over
-        if self.lame_duck.ends_at is None or self.signal_received.is_set() and not handed:
+        handed_over = self.handover.handed_over
+        if self.lame_duck.ends_at is None or self.signal_received.is_set() and not handed_over:
             return
-        events = (self.final_state_reported,) if handed else (self.signal_received, self.final_state_reported)
+        events = (
+            (self.final_state_reported,) if handed_over
+            else (self.signal_received, self.final_state_reported))
         waits = [self.loop.create_task(event.wait()) for event in events]
-        within = CONSOLE_LINGER_HANDED_OVER if handed else CONSOLE_LINGER
-        await asyncio.wait(waits, timeout=within, return_when=asyncio.FIRST_COMPLETED)
+        timeout = CONSOLE_LINGER_HANDED_OVER if handed_over else CONSOLE_LINGER
+        await asyncio.wait(waits, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        await asyncio.sleep(FINAL_READ_TIME)  # for the answer to go out
+        await asyncio.sleep(FINAL_READ_TIME)  # for the answer to be sent
 
     async def listen_for_clients(self) -> None:
-        """Begins to accept at the clients' address; OSError where it can't be had."""
+        """Starts to accept clients; raises OSError if the address can't be used."""
         self.front.listen_on(await open_listener(self.listen_address, BACKLOG, share_port=True))
 
     async def start(self) -> None:
         if self.console_address is not None:
             self.handover.console_address = await self.console.listen(self.console_address)
-        succeeds = self.handover.connect_to_predecessor()
-        if not succeeds:
+        has_predecessor = self.handover.connect_to_predecessor()
+        if not has_predecessor:
             await self.listen_for_clients()
         self.discovery_task = self.loop.create_task(self.discovery.run())
         try:
@@ -358,67 +388,73 @@
                 await self.discovery.heard.wait()
         except TimeoutError:
             pass
-        if not succeeds or not await self.handover.take_over():
+        if not has_predecessor or not await self.handover.take_over():
             self.handover.restore_suspensions()
-            if succeeds:
+            if has_predecessor:
                 await self.listen_for_clients()
         self.handover.listen()
         self.list_settled = True
 
     def reload(self) -> None:
-        """Takes over where discovery and the counter are now, and how connections are kept.
+        """Applies changed addresses of discovery and the counter, and changed pool and counter call settings.
 
-        The file's word counts, as it is the newer.
+        RELAY_DISCOVERY is ignored, as the file is newer.
         """
         environ = {name: value for name, value in os.environ.items() if name != "RELAY_DISCOVERY"}
         try:
-            told = read_configuration(environ)
+            configuration = read_configuration(environ)
         except BadConfiguration as error:
             return log.warning("the configuration stays as it was: %s", error)
-        log.info("discovery is at %s now", ",".join(f"{host}:{port}" for host, port in told.discovery))
-        self.driver.list_age = self.discovery.age if len(told.discovery) > 1 else None
-        self.discovery.move(told.discovery)
-        self.driver.change_settings(told.settings.pool, told.settings.aggregation)
-        self.move_counter(told)
+        log.info(
+            "discovery is now at %s", ",".join(f"{host}:{port}" for host, port in configuration.discovery))
+        self.driver.list_age = self.discovery.age if len(configuration.discovery) > 1 else None
+        self.discovery.move(configuration.discovery)
+        self.driver.change_settings(configuration.settings.pool, configuration.settings.aggregation)
+        self.move_counter(configuration)
         return None
 
-    def move_counter(self, told: Configuration) -> None:
-        """Counter calls go where they are told to now; those that are out may still be answered."""
-        before, was_routed = self.driver.counter, bool(self.aggregators)
-        if before is None or told.counter is None:
+    def move_counter(self, configuration: Configuration) -> None:
+        """Sends counter calls to the new addresses; calls in flight may still be answered by the old ones."""
+        previous, was_routed = self.driver.counter, bool(self.aggregators)
+        if previous is None or configuration.counter is None:
             return
-        self.aggregators = told.aggregators
-        if was_routed != bool(told.aggregators):
-            self.driver.counter = self.make_counter(told)
-            self.loop.call_later(told.settings.counter_timeout, before.close)
-        elif isinstance(before, Counter):
-            before.move(told.counter)
+        self.aggregators = configuration.aggregators
+        if was_routed != bool(configuration.aggregators):
+            self.driver.counter = self.make_counter(configuration)
+            self.loop.call_later(configuration.settings.counter_timeout, previous.close)
+        elif isinstance(previous, Counter):
+            previous.move(configuration.counter)
         else:
-            cast("AggregatorRouter", before).move(told.aggregators)
+            cast("AggregatorRouter", previous).move(configuration.aggregators)
 
-    async def stop(self, still_coming: float = ACCEPT_AFTER_SIGTERM, all_answered: float | None = None) -> None:
-        """Takes what still comes, answers all of it, and leaves nothing behind."""
+    async def stop(self, accept_time: float = ACCEPT_AFTER_SIGTERM, timeout: float | None = None) -> None:
+        """Accepts the last clients, answers all requests and closes everything.
+
+        accept_time: seconds for which clients are still accepted
+        timeout: seconds by which all requests are answered; None: stop_timeout
+        """
         self.front.stopping = True
-        left = self.stop_timeout if all_answered is None else all_answered
-        drained = self.lame_duck.ends_at is not None  # no kill is due
+        remaining = self.stop_timeout if timeout is None else timeout
+        drained = self.lame_duck.ends_at is not None  # then no SIGKILL follows
         if not drained:
-            self.driver.stop_deadline = self.driver.clock() + left
+            self.driver.stop_deadline = self.driver.clock() + remaining
         if self.handover.handed_over:
-            await self.front.wait_moved(left)
+            await self.front.wait_moved(remaining)
             await self.front.stop_listening()
         else:
-            await asyncio.sleep(still_coming)
+            await asyncio.sleep(accept_time)
             await self.front.stop_listening()
             await asyncio.sleep(FINAL_READ_TIME)
-            left = max(left - still_coming - FINAL_READ_TIME, 0.0)
+            remaining = max(remaining - accept_time - FINAL_READ_TIME, 0.0)
             if drained:
                 await self.wait_until_idle(DRAIN_TIMEOUT, signal_ends=True)
-                self.driver.stop_deadline = self.driver.clock() + left
+                self.driver.stop_deadline = self.driver.clock() + remaining
             await self.wait_until_idle(self.driver.stop_deadline - self.driver.clock())
-        self.driver.stop_deadline = self.driver.clock()  # what is read from here on is refused
+        self.driver.stop_deadline = self.driver.clock()  # requests that are read from now on are rejected
         self.driver.fail_all_unanswered()
         self.front.close_idle()
-        await asyncio.gather(self.front.wait_drained(FINAL_WRITE_TIMEOUT), self.driver.flush_counts(FINAL_WRITE_TIMEOUT))
+        await asyncio.gather(
+            self.front.wait_drained(FINAL_WRITE_TIMEOUT), self.driver.flush_counts(FINAL_WRITE_TIMEOUT))
         self.front.close()
         if self.discovery_task is not None:
             self.discovery_task.cancel()
@@ -445,19 +481,19 @@
     return words[0]
 
 
-async def run_program(told: Configuration) -> None:
-    await Program(told).run()
+async def run_program(configuration: Configuration) -> None:
+    await Program(configuration).run()
 
 
 def main() -> int:
     logging.basicConfig(format="%(name)s: %(message)s", level=logging.INFO)
     try:
-        told = read_configuration(dict(os.environ))
+        configuration = read_configuration(dict(os.environ))
     except BadConfiguration as error:
         print(f"embersill: {error}", file=sys.stderr)
         return 2
     try:
-        uvloop.run(run_program(told))
+        uvloop.run(run_program(configuration))
     except OSError as error:
         print(f"embersill: {error}", file=sys.stderr)
         return 1
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -1,8 +1,9 @@
-"""The hand-over between a running process and its successor, over a Unix socket and a file in $TMPDIR.
+"""Hand-over from a running process to its successor, over a Unix socket and a file in $TMPDIR.
 
-The successor asks once it could serve. It is given the listening socket, the decision module's state and, as
-they fall idle, the client connections; the other then only ends what it has. A lame duck's successor is one
-for the rest of its time. Each message is one packet of JSON, with a descriptor where it gives one away.
+The successor asks for the hand-over once it is able to serve. It receives the listening socket, the state of
+the decision module and each client connection as that falls idle; the predecessor only finishes its requests
+in flight. The successor of a lame duck is one for the remaining time. Each message is one packet of JSON,
+with the file descriptors that it passes.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 from embersill.net.driver import Driver
 from embersill.net.lameduck import LameDuck
 
-VERSION = 1  # of the messages and the file: a process of another one is taken for none at all
+VERSION = 1  # of the messages and the state file; what comes from another version is ignored
 SOCKET_NAME, STATE_FILE_NAME = "embersill.link", "embersill.state"
-MAX_MESSAGE_SIZE = 4096  # bytes: an id of a backend is the longest part of one
-TAKE_OVER_TIMEOUT = 1.5  # seconds for the predecessor to give its listener: the successor's yes is due in 6
-CONFIRMATION_TIMEOUT = 0.5  # seconds to wait for the other process over a ban: the console's answer is due in 1
-ACCEPT_RETRY_DELAY = 0.05  # seconds until a caller is accepted again after that has failed
-SAVE_RETRY_DELAY = 0.5  # seconds until the state is written again after that has failed
-CONNECTION_COUNT_INTERVAL = 0.25  # seconds between the old process's words on what it still holds
+MAX_MESSAGE_SIZE = 4096  # bytes: the id of a backend is the longest part of a message
+TAKE_OVER_TIMEOUT = 1.5  # seconds for the predecessor to hand over: the successor must be ready within 6
+CONFIRMATION_TIMEOUT = 0.5  # seconds for the peer to confirm a suspension: the console must answer within 1
+ACCEPT_RETRY_DELAY = 0.05  # seconds until the next try to accept a successor's connection
+SAVE_RETRY_DELAY = 0.5  # seconds until the next try to write the state file
+CONNECTION_COUNT_INTERVAL = 0.25  # seconds between the predecessor's reports of its open connections
 
 Message = dict[str, Any]
 
@@ -38,23 +39,30 @@
 
 
 class Channel:
-    """One end of the talk between two processes."""
+    """One end of the connection between a process and its predecessor or successor.
 
-    def __init__(self, sock: socket.socket, told: Callable[[Message, list[int]], None],
-                 ended: Callable[[], None]) -> None:
-        self.sock, self.on_message, self.on_closed = sock, told, ended
+    on_message: called with each message and the descriptors that came with it
+    on_closed: called once when the other end has closed
+    """
+
+    def __init__(self, sock: socket.socket, on_message: Callable[[Message, list[int]], None],
+                 on_closed: Callable[[], None]) -> None:
+        self.sock, self.on_message, self.on_closed = sock, on_message, on_closed
         self.loop = asyncio.get_running_loop()
         sock.setblocking(False)
         self.loop.add_reader(sock, self.on_readable)
 
     def send(self, message: Message, *descriptors: int) -> bool:
-        """False where the other end has no room now, or is gone: then nothing of it was sent."""
+        """Sends a message with descriptors.
+
+        Returns False, with nothing sent, if the buffer is full or the other process has exited.
+        """
         if self.sock.fileno() < 0:
             return False
         text = json.dumps({**message, "version": VERSION}).encode()
         try:
             socket.send_fds(self.sock, [text], descriptors)
-        except OSError as error:  # full, or too many descriptors under way; an end is told to the reader
+        except OSError as error:  # full, or too many descriptors in flight; on_readable notices a closed end
             log.debug("a message to the other process was not sent: %s", error)
             return False
         return True
@@ -66,7 +74,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                log.info("the other process cannot be heard: %s", error)
+                log.info("reading from the other process failed: %s", error)
                 text, descriptors = b"", []
             if not text:
                 self.close()
@@ -80,7 +88,7 @@
                 raise ValueError("another version")
             self.on_message(message, descriptors)
         except (ValueError, LookupError, TypeError) as error:
-            log.warning("a message of another process is not understood: %s", error)
+            log.warning("invalid message from another process: %s", error)
             for descriptor in descriptors:
                 os.close(descriptor)
 
@@ -90,36 +98,39 @@
             self.sock.close()
 
 
-def open_directory(folder: str) -> int:
-    """By descriptor: a socket's path must be short, the folder's may be long; -1 where there is none."""
+def open_directory(path: str) -> int:
+    """Returns a descriptor of the directory, or -1 if it can't be opened.
+
+    The path of a Unix socket must be short, that of the directory may be long.
+    """
     try:
-        return os.open(folder, os.O_DIRECTORY)
+        return os.open(path, os.O_DIRECTORY)
     except OSError as error:
         log.warning("no hand-over, as $TMPDIR cannot be opened: %s", error)
         return -1
 
 
 def serialize_state(state: Message) -> str:
-    """With its version and a checksum."""
+    """Returns the state as text, with its version and a checksum."""
     text = json.dumps(state, separators=(",", ":"))
     return f"{VERSION} {zlib.crc32(text.encode())}\n{text}"
 
 
-def parse_state(whole: str) -> Message:
-    """What `state_text` made; ValueError where it is of another version, or not whole."""
-    head, _, text = whole.partition("\n")
+def parse_state(serialized: str) -> Message:
+    """Reads what `serialize_state` returned; raises ValueError if it is of another version or incomplete."""
+    head, _, text = serialized.partition("\n")
     if head.split() != [str(VERSION), str(zlib.crc32(text.encode()))]:
-        raise ValueError("of another version, or not whole")
+        raise ValueError("of another version, or incomplete")
     state = json.loads(text)
     return state if isinstance(state, dict) else {}
 
 
 def create_memory_file(text: str) -> int:
-    """The descriptor of a file in memory, which a full disk does not keep from being written; -1 for none."""
+    """Returns the descriptor of a file in memory, or -1. It can be written even if the disk is full."""
     try:
         descriptor = os.memfd_create(STATE_FILE_NAME)
     except OSError as error:
-        log.warning("the state goes over by its file alone: %s", error)
+        log.warning("the state is handed over by the state file only: %s", error)
         return -1
     with open(os.dup(descriptor), "w", encoding="ascii") as file:
         file.write(text)
@@ -127,42 +138,43 @@
 
 
 def read_memory_file(descriptor: int) -> Message:
-    """What the process before has put there; the descriptor is closed."""
+    """Reads the state from the predecessor's memory file, {} if it is invalid, and closes the descriptor."""
     try:
         with open(descriptor, encoding="ascii") as file:
             file.seek(0)
             return parse_state(file.read())
     except (OSError, ValueError) as error:
-        log.warning("the state that was given is of no use: %s", error)
+        log.warning("the state from the predecessor is unusable: %s", error)
         return {}
 
 
 def read_seconds(message: Message, key: str) -> float | None:
-    """A span of time, of which a process of an older version may tell nothing."""
+    """Reads a duration; a process of an older version may not send it."""
     seconds = message.get(key)
     return None if seconds is None else float(seconds)
 
 
 def read_history(message: Message) -> ConnectionHistory:
-    """Of a client's connection; a process of an older version tells no time."""
+    """Reads a client connection's history; a process of an older version sends no `awaited_for`."""
     awaited_for = read_seconds(message, "awaited_for") or 0.0
     return ConnectionHistory(bool(message["asked"]), bool(message["served"]), awaited_for)
 
 
 class Handover:
-    """This process's part in upgrades: first as the successor of one that runs, then as a predecessor."""
+    """Part of this process in upgrades: as a successor, if another process runs, and then as a predecessor."""
 
-    def __init__(self, folder: str | None, driver: Driver, front: Front, duck: LameDuck) -> None:
-        self.driver, self.front, self.lame_duck = driver, front, duck
-        self.console_address = ""  # where staff call this process
-        self.successor_console = ""  # and where they call the one that takes over, or that came while this one ended
+    def __init__(self, directory: str | None, driver: Driver, front: Front, lame_duck: LameDuck) -> None:
+        self.driver, self.front, self.lame_duck = driver, front, lame_duck
+        self.console_address = ""  # of this process, as host:port
+        self.successor_console = ""  # console address of the successor, or of one that came too late
         self.loop = asyncio.get_running_loop()
-        self.directory = open_directory(folder) if folder else -1
+        self.directory = open_directory(directory) if directory else -1  # descriptor
         self.channel: Channel | None = None
         self.take_over_result: asyncio.Future[bool] = self.loop.create_future()
-        self.save_scheduled = False  # the state is written again in a moment
-        self.handed_over = False  # all but what is under way is the successor's
-        self.pending_confirmations: dict[str, asyncio.Future[None]] = {}  # bans that the other process has not confirmed
+        self.save_scheduled = False  # a failed write of the state file will be repeated
+        self.handed_over = False  # this process only finishes its requests in flight
+        # by backend: suspensions, or ends of one, that the other process has not confirmed
+        self.pending_confirmations: dict[str, asyncio.Future[None]] = {}
         self.listener: socket.socket | None = None
 
     def path(self, name: str) -> str:
@@ -171,13 +183,13 @@
     # as the successor
 
     def connect_to_predecessor(self) -> bool:
-        """True if a process that could hand over runs already."""
+        """Connects to a running process; returns False if there is none."""
         if self.directory < 0:
             return False
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.connect(self.path(SOCKET_NAME))
-        except OSError as error:  # none, or what one that was killed has left
+        except OSError as error:  # there is no socket file, or only that of a killed process
             log.debug("no process to take over from: %s", error)
             sock.close()
             return False
@@ -185,7 +197,7 @@
         return True
 
     async def take_over(self) -> bool:
-        """Asks for everything; False where the other process did not give it in time."""
+        """Asks the predecessor to hand over; returns False if it did not in time."""
         if self.channel is None or not self.channel.send({"say": "take", "console": self.console_address}):
             return False
         try:
@@ -198,55 +210,56 @@
             return False
 
     def restore_suspensions(self) -> None:
-        """Where nobody hands over, bans are what must outlive the process before: they are by hand."""
+        """Restores the suspensions, made by operators, from the state file; used if there is no hand-over."""
         self.driver.load_predecessor_state({"banned": self.read_state().get("banned", [])})
 
     def accept_hand_over(self, message: Message, descriptors: list[int]) -> None:
-        """Takes over by the listener's descriptor and, of newer versions, one of the state."""
+        """Takes over with the descriptors of the listener and, from newer versions, of the state."""
         self.set_peer_connections(message)
         state = read_memory_file(descriptors[1]) if len(descriptors) > 1 else {}
         self.driver.load_predecessor_state(self.add_clock_offset(state or self.read_state()))
         self.front.listen_on(socket.socket(fileno=descriptors[0]))
-        left = read_seconds(message, "lame_duck")
-        if left is not None:
-            log.info("the process before was a lame duck: this one is for %.1f s more", left)
-            self.lame_duck.set(left)
+        remaining = read_seconds(message, "lame_duck")
+        if remaining is not None:
+            log.info("the predecessor was a lame duck: this process is one for %.1f s more", remaining)
+            self.lame_duck.set(remaining)
         if not self.take_over_result.done():
             self.take_over_result.set_result(True)
 
     def add_clock_offset(self, state: Message) -> Message:
-        """Adds how far this process's clock is ahead of the other's: the machine's may have been stepped.
+        """Adds to the state how far this process's clock is ahead of the predecessor's.
 
-        Both know the same moment by the monotonic clock, which is one for all processes of a machine.
+        They differ if the machine's clock was stepped between the two starts. The monotonic clock, which all
+        processes of a machine share, relates them.
         """
         if "monotonic" not in state or "now" not in state:
             return state  # of an older version
-        then = float(state["now"]) + time.monotonic() - float(state["monotonic"])
-        return {**state, "clock_ahead": self.driver.clock() - then}
+        predecessor_now = float(state["now"]) + time.monotonic() - float(state["monotonic"])
+        return {**state, "clock_ahead": self.driver.clock() - predecessor_now}
 
     def set_peer_connections(self, message: Message) -> None:
-        """The two share the limits: what the other still holds is not to be had here."""
+        """Counts the other process's open connections against the limits, which the two share."""
         self.front.elsewhere, self.driver.pool.elsewhere = int(message["clients"]), int(message["backends"])
 
     # as the predecessor
 
     def listen(self) -> None:
-        """Lets a successor call; the path is taken over at once from whatever stood there."""
+        """Listens for a successor; the socket file atomically replaces an existing one."""
         if self.directory < 0:
             return
-        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        new = self.path(f"{SOCKET_NAME}.{os.getpid()}")
+        listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        temporary = self.path(f"{SOCKET_NAME}.{os.getpid()}")
         try:
-            if os.path.lexists(new):
-                os.unlink(new)
-            door.bind(new)
-            door.listen(4)
-            os.rename(new, self.path(SOCKET_NAME))
+            if os.path.lexists(temporary):
+                os.unlink(temporary)
+            listener.bind(temporary)
+            listener.listen(4)
+            os.rename(temporary, self.path(SOCKET_NAME))
         except OSError as error:
             log.warning("no successor can take over from this process: %s", error)
-            return door.close()
-        door.setblocking(False)
-        self.listener = door
+            return listener.close()
+        listener.setblocking(False)
+        self.listener = listener
         self.watch_listener()
 
     def watch_listener(self) -> None:
@@ -258,32 +271,32 @@
         try:
             sock, _ = self.listener.accept()
         except OSError as error:
-            self.loop.remove_reader(self.listener)  # a failure that lasts must not hold the loop
+            self.loop.remove_reader(self.listener)  # a lasting failure must not keep the loop busy
             self.loop.call_later(ACCEPT_RETRY_DELAY, self.watch_listener)
-            return log.warning("a caller for a hand-over was lost: %s", error)
+            return log.warning("a successor's connection was not accepted: %s", error)
         if self.handed_over or (self.channel is not None and self.channel.sock.fileno() >= 0):
-            return sock.close()  # one at a time
+            return sock.close()  # only one successor at a time
         self.channel = Channel(sock, self.on_message, self.on_peer_exited)
 
-    def hand_over(self, successor: str) -> None:
-        """All that a successor needs goes over: from here on this process only ends what it has."""
+    def hand_over(self, successor_console: str) -> None:
+        """Gives the successor all that it needs; from then on this process only finishes its requests."""
         listener = self.front.listener
         if self.channel is None or self.handed_over:
             return
-        self.successor_console = successor
-        if self.front.stopping or listener is None:  # it takes what still comes, and ends by itself
+        self.successor_console = successor_console
+        if self.front.stopping or listener is None:  # this process accepts the last clients itself, and exits
             self.channel.send({"say": "closing"})
             return
         self.handed_over = True
         self.front.pause_accepting()
         self.driver.pool.keep_none()
         state = {**self.driver.hand_over(), "monotonic": time.monotonic()}
-        self.write_state(state)  # an older version reads the file; it may not be written, as on a full disk
-        given = {"say": "given", **self.connection_counts(), "lame_duck": self.lame_duck.remaining()}
-        memory = create_memory_file(serialize_state(state))
-        sent = self.channel.send(given, listener.fileno(), *([] if memory < 0 else [memory]))
-        if memory >= 0:
-            os.close(memory)
+        self.write_state(state)  # for older versions; may fail, for example on a full disk
+        message = {"say": "given", **self.connection_counts(), "lame_duck": self.lame_duck.remaining()}
+        memory_file = create_memory_file(serialize_state(state))
+        sent = self.channel.send(message, listener.fileno(), *([] if memory_file < 0 else [memory_file]))
+        if memory_file >= 0:
+            os.close(memory_file)
         if not sent:
             return self.resume_serving()
         self.lame_duck.stop_timer()
@@ -293,7 +306,7 @@
         self.loop.call_later(CONNECTION_COUNT_INTERVAL, self.send_connection_counts)
 
     def move_connection(self, connection: ClientConnection) -> bool:
-        """Gives a client's connection away; False where that can't be done now."""
+        """Passes a client connection to the successor; returns False if that is impossible now."""
         if self.channel is None or connection.transport is None:
             return False
         descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -309,15 +322,15 @@
             self.loop.call_later(CONNECTION_COUNT_INTERVAL, self.send_connection_counts)
 
     def resume_serving(self) -> None:
-        """The successor went before this process was told to stop: it serves on, with what credit is left."""
-        log.warning("the successor is gone: this process serves on")
+        """Serves on with the remaining units, as the successor exited before this process was stopped."""
+        log.warning("the successor has exited: this process serves on")
         self.handed_over, self.front.successor, self.successor_console = False, None, ""
         self.driver.pool.keeping = True
         self.driver.cancel_hand_over()
         self.front.resume_accepting()
         self.front.stay()
         self.stop_listening()
-        self.listen()  # the path may be the successor's by now
+        self.listen()  # the successor may have replaced the socket file
         self.lame_duck.start_timer()
 
     # both
@@ -345,14 +358,14 @@
                 self.driver.restore(str(message["id"]))
                 self.send_confirmation(message)
             case "did":
-                waiting = self.pending_confirmations.pop(str(message["id"]), None)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(None)
+                confirmation = self.pending_confirmations.pop(str(message["id"]), None)
+                if confirmation is not None and not confirmation.done():
+                    confirmation.set_result(None)
             case other:
                 raise ValueError(f"unknown message {other!r}")
 
     def send_lame_duck(self) -> None:
-        """What staff said here also holds for the process before, should it have to serve on."""
+        """Passes the lame duck state on to the predecessor, which may have to serve on."""
         if self.channel is not None:
             self.channel.send({"say": "lame duck", "left": self.lame_duck.remaining()})
 
@@ -362,27 +375,30 @@
             self.channel.send({"say": "did", "id": message["id"]})
 
     def save_suspensions(self) -> None:
-        if not self.handed_over:  # the file is the successor's from then on
+        if not self.handed_over:  # after that the state file belongs to the successor
             self.write_state({"banned": sorted(self.driver.gateway.banned)})
 
     async def share_suspension(self, say: str, backend: str) -> None:
-        """A ban or its end made here also binds the other process, before anybody hears of it."""
+        """Applies a suspension or its end to the other process too, before the operator gets an answer.
+
+        say: type of the message, "suspend" or "restore"
+        """
         self.save_suspensions()
         if self.channel is None or not self.channel.send({"say": say, "id": backend}):
             return
-        waiting = self.pending_confirmations.setdefault(backend, self.loop.create_future())
+        confirmation = self.pending_confirmations.setdefault(backend, self.loop.create_future())
         try:
             async with asyncio.timeout(CONFIRMATION_TIMEOUT):
-                await asyncio.shield(waiting)
+                await asyncio.shield(confirmation)
         except TimeoutError:
-            log.warning("the other process did not confirm the call for %s", backend)
+            log.warning("the other process did not confirm the command for %s", backend)
 
     def on_peer_exited(self) -> None:
-        """The other process has gone."""
+        """Serves on, or takes over the limits, as the other process has exited."""
         self.channel = None
-        for waiting in self.pending_confirmations.values():
-            if not waiting.done():
-                waiting.set_result(None)
+        for confirmation in self.pending_confirmations.values():
+            if not confirmation.done():
+                confirmation.set_result(None)
         self.pending_confirmations.clear()
         if self.handed_over and not self.front.stopping:
             return self.resume_serving()
@@ -392,19 +408,20 @@
         self.driver.on_predecessor_ended()
 
     def write_state(self, state: Message) -> None:
-        """Whole or not at all, with its version and a checksum."""
+        """Replaces the state file atomically."""
         if self.directory < 0:
             return
-        new = self.path(f"{STATE_FILE_NAME}.{os.getpid()}")
+        temporary = self.path(f"{STATE_FILE_NAME}.{os.getpid()}")
         try:
-            with open(new, "w", encoding="ascii") as file:
+            with open(temporary, "w", encoding="ascii") as file:
                 file.write(serialize_state(state))
-            os.replace(new, self.path(STATE_FILE_NAME))
+            os.replace(temporary, self.path(STATE_FILE_NAME))
         except OSError as error:
             log.warning("the state was not written: %s", error)
             with suppress(OSError):
-                os.unlink(new)
-            if not (self.handed_over or self.save_scheduled):  # bans that staff were told of are owed to the next process
+                os.unlink(temporary)
+            # The next process must know the suspensions that an operator's command has confirmed.
+            if not (self.handed_over or self.save_scheduled):
                 self.save_scheduled = True
                 self.loop.call_later(SAVE_RETRY_DELAY, self.save_again)
 
@@ -414,7 +431,7 @@
             self.save_suspensions()
 
     def read_state(self) -> Message:
-        """What was written last; nothing where it is of another version, or not whole."""
+        """Reads the state file; returns {} if it is missing, of another version or incomplete."""
         if self.directory < 0:
             return {}
         try:
@@ -423,7 +440,7 @@
         except FileNotFoundError:
             return {}
         except (OSError, ValueError) as error:
-            log.warning("the state that was left is of no use: %s", error)
+            log.warning("the state file is unusable: %s", error)
             return {}
 
     def stop_listening(self) -> None:
