--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -21,7 +21,7 @@
 from embersill.interface import ListKind, Settings
 from embersill.net.backends import Dialer
 from embersill.net.clients import BACKLOG, Front
-from embersill.net.console import MAX_CONSOLE_CONNECTIONS, Console, CommandRejected
+from embersill.net.console import MAX_CONSOLE_CONNECTIONS, CommandRejected, Console
 from embersill.net.counter import Counter, CounterClient
 from embersill.net.discovery import LEAST_LIST, LIST_COST, MOST_LIST, Discovery
 from embersill.net.driver import Driver
@@ -66,6 +66,7 @@
 CLOSE_POLL_INTERVAL = 0.02  # seconds between checks for connections that became idle
 FINAL_READ_TIME = 0.15  # seconds to read requests already sent on the connections that were accepted last
 FINAL_WRITE_TIMEOUT = 0.25  # seconds for clients to read their answers
+
 log = logging.getLogger("embersill")
 
 
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -161,7 +161,7 @@
 
 
 class Handover:
-    """Part of this process in upgrades: as a successor, if another process runs, and then as a predecessor."""
+    """Part of this process in upgrades: as a successor, if another process runs, later as a predecessor."""
 
     def __init__(self, directory: str | None, driver: Driver, front: Front, lame_duck: LameDuck) -> None:
         self.driver, self.front, self.lame_duck = driver, front, lame_duck
