--- a/tests/bed.py
+++ b/tests/bed.py
@@ -1,4 +1,4 @@
-"""One whole gateway in the test's own loop, with scripted peers around it."""
+"""Test fixture: a complete gateway in the event loop of the test, with scripted peers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     number: int, klass: str = "lookup", budget: float = 5.0, plan: str = "basis", customer: str = CUSTOMER,
     units: str = "1", body: bytes = b"typed text", drop: str = "", **more: str,
 ) -> bytes:
-    """A client's request; `drop` leaves a header out, and `more` replaces or adds some."""
+    """Returns a client request as bytes, without the header `drop`; `more` replaces or adds headers."""
     get = klass == "lookup"
     headers = {
         "Host": "backend.local", "X-Call-Id": f"{number:016x}", "X-Call-Class": klass, "Plan": plan,
@@ -54,7 +54,7 @@
 
 
 class Client:
-    """A client's connection, written to by hand."""
+    """A client connection that the test reads and writes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -63,7 +63,7 @@
         self.writer.write(text)
 
     def put(self, text: bytes) -> None:
-        """Into the gateway's kernel, before its loop has another turn."""
+        """Writes to the socket at once, so that the kernel has the data before the event loop runs again."""
         os.write(self.writer.get_extra_info("socket").fileno(), text)
 
     async def answer(self) -> tuple[int, dict[str, str], bytes]:
@@ -76,35 +76,35 @@
         return await self.answer()
 
     def reset(self) -> None:
-        """Ends the connection so that the gateway sees it broken, not only closed for sending."""
+        """Resets the connection, so that the gateway sees it broken and not only closed for sending."""
         reset(self.writer)
 
     async def closed(self) -> bool:
-        """Waits for the gateway to close; False if it sends something more first."""
+        """Waits for the gateway to close the connection; returns False if it sends more data first."""
         async with asyncio.timeout(SOON):
             return await self.reader.read(1) == b""
 
 
-def before(monkeypatch: pytest.MonkeyPatch, what: Any, name: str, crossing: Callable[[], None]) -> None:
-    """Has the crossing happen right before a step, the first time that it is taken."""
-    step, crossed = getattr(what, name), False
+def before(monkeypatch: pytest.MonkeyPatch, target: Any, name: str, action: Callable[[], None]) -> None:
+    """Has `action` called right before the first call of the function `name` of `target`."""
+    function, called = getattr(target, name), False
 
-    def stepped(*arguments: Any, **more: Any) -> Any:
-        nonlocal crossed
-        if not crossed:
-            crossed = True
-            crossing()
-        return step(*arguments, **more)
+    def wrapper(*arguments: Any, **more: Any) -> Any:
+        nonlocal called
+        if not called:
+            called = True
+            action()
+        return function(*arguments, **more)
 
-    monkeypatch.setattr(what, name, stepped)
+    monkeypatch.setattr(target, name, wrapper)
 
 
 @contextmanager
 def no_descriptors() -> Iterator[None]:
-    """None is to be had in this process meanwhile."""
+    """Uses up the file descriptors of this process: none can be opened within the block."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     highest, held = max(int(name) for name in os.listdir("/proc/self/fd")), [os.dup(0)]
-    while held[-1] < highest:  # all below are taken then
+    while held[-1] < highest:  # until all below the highest are in use
         held.append(os.dup(0))
     resource.setrlimit(resource.RLIMIT_NOFILE, (held[-1] + 1, hard))
     try:
@@ -116,10 +116,12 @@
 
 
 def backend_connections(pool: Pool) -> list[BackendConnection]:
-    return [link for link in pool.links if isinstance(link, BackendConnection)]
+    return [connection for connection in pool.links if isinstance(connection, BackendConnection)]
 
 
 class Bed:
+    """A gateway with its backends, discovery and counter."""
+
     def __init__(self, backends: int) -> None:
         self.backends = [BackendPeer() for _ in range(backends)]
         self.discovery, self.counter = DiscoveryPeer(), CounterPeer()
@@ -131,15 +133,15 @@
             await peer.start()
         entries = [self.discovery.entry(f"b{n}", b.address) for n, b in enumerate(self.backends)]
         self.discovery.entries = {e["instanceId"]: e for e in entries}
-        told = self.configuration(env, sockets)
-        self.program = Program(build_configuration(told, {"TMPDIR": folder}))
+        configuration = self.configuration(env, sockets)
+        self.program = Program(build_configuration(configuration, {"TMPDIR": folder}))
         self.program.listen_address = self.program.console_address = (HOST, 0)
         await self.program.start()
         assert self.program.front.listener is not None
         self.port = self.program.front.listener.getsockname()[1]
 
     async def console(self, text: bytes, end: bool = False, program: Program | None = None) -> str:
-        """What the console answers to these bytes, to its close."""
+        """Sends bytes to the console and returns all that it answers until it closes the connection."""
         server = (program or self.program).console.server
         assert server is not None
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
@@ -152,6 +154,7 @@
         return answer.decode()
 
     def configuration(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
+        """Returns the content of the gateway's configuration file."""
         return {
             "name": "n0", "listen": f"{HOST}:1", "discovery": self.discovery.address,
             "counter": self.counter.address, "seed": "8c1f30d27a5be964",
@@ -161,15 +164,15 @@
         }
 
     async def until_answered(self) -> None:
-        """Waits until nothing that was taken is unanswered."""
+        """Waits until all accepted requests are answered."""
         async with asyncio.timeout(SOON):
             while self.program.driver.unanswered:
                 await asyncio.sleep(0.001)
 
     async def successor(self, env: dict[str, Any], folder: str) -> Program:
-        """A second process's program beside the first, with the same addresses but for its console."""
-        told = {**self.configuration(env, 1024), "listen": f"{HOST}:{self.port}"}
-        second = Program(build_configuration(told, {"TMPDIR": folder}))
+        """Starts a successor, at the same addresses but for its console."""
+        configuration = {**self.configuration(env, 1024), "listen": f"{HOST}:{self.port}"}
+        second = Program(build_configuration(configuration, {"TMPDIR": folder}))
         second.console_address = (HOST, 0)
         await second.start()
         return second
@@ -183,11 +186,12 @@
         return Client(*await asyncio.open_connection(sock=sock))
 
     def seen(self) -> list[Asked]:
-        return [asked for b in self.backends for asked in b.seen]
+        """Returns the requests that the backends have received."""
+        return [received for b in self.backends for received in b.seen]
 
 
 def roomy_settings(**limits: Any) -> dict[str, Any]:
-    """The settings with a first plan wide enough that its requests go on at once and uncounted."""
+    """Returns settings with a first plan so large that its requests are sent at once and uncounted."""
     env = settings_text(**limits)
     env["packages"][0].update(peak_units=400.0, units_per_s=100.0)
     return env
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small scripted peers on loopback for the gateway's tests: backends, discovery and the counter."""
+"""Scripted peers of the gateway on loopback: backends, discovery and the counter."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from embersill.lab.peers import Asked, Peer, message, read_call, read_message, total_text
 
-SOON = 10.0  # seconds after which a test that waits for an event gives up: it passes long before
+SOON = 10.0  # seconds after which a test that waits for an event fails; events come long before
 Step = Callable[[asyncio.StreamWriter, Asked], Awaitable[None] | None]
 
 
@@ -20,7 +20,7 @@
 
 
 class BackendPeer(Peer):
-    """Answers each request by `script`; with none left it serves the request's id."""
+    """Answers each request by the next step of `script`, without one with status 200 and the request's id."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,13 +54,13 @@
 
 
 def entry(name: str, address: str, state: str = "SERVING", started: float = 0) -> dict[str, Any]:
-    """A backend in discovery's form."""
+    """Returns an entry of discovery's list."""
     return {"instanceId": name, "hostPort": address, "zone": "z", "machineType": "k", "cell": 0,
             "lifecycle": state, "weight": 1.0, "startedAtMs": started}
 
 
 class DiscoveryPeer(Peer):
-    """Gives the whole list, then answers a watch when `change` brings something."""
+    """Sends the full list, and then answers each watch when `change` is called or its time is up."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,15 +69,15 @@
         self.changed = asyncio.Condition()
         self.changes: list[dict[str, Any]] = []
         self.asked: list[str] = []
-        self.headers: list[str] = []  # of every answer
+        self.headers: list[str] = []  # added to every answer
         self.silent = self.endless = False
-        self.empty_watches = False  # watches are answered at once, with nothing
-        self.answers_to_omit = 0  # so many of the next answers are not given
+        self.empty_watches = False  # watches are answered at once, without changes
+        self.answers_to_omit = 0  # number of the next requests that get no answer
 
     entry = staticmethod(entry)
 
-    def listing(self, whole: bool, entries: list[dict[str, Any]]) -> bytes:
-        return json.dumps({"generation": self.generation, "reset": whole, "instances": entries}).encode()
+    def listing(self, full: bool, entries: list[dict[str, Any]]) -> bytes:
+        return json.dumps({"generation": self.generation, "reset": full, "instances": entries}).encode()
 
     async def change(self, *entries: dict[str, Any]) -> None:
         async with self.changed:
@@ -122,7 +122,10 @@
 
 
 class CounterPeer(Peer):
-    """Adds up names; `hold` keeps the answers back until it is set again, `say` replaces them."""
+    """Adds up the amounts of each name.
+
+    Answers are held back while `may_answer` is not set, and replaced by those in `scripted_answers`.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -134,8 +137,8 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            words = await read_call(reader)
-            name, amount = words[1], float(words[2])
+            arguments = await read_call(reader)
+            name, amount = arguments[1], float(arguments[2])
             self.calls.append((name, amount))
             self.sums[name] = self.sums.get(name, 0.0) + amount
             answer = total_text(self.sums[name])
@@ -144,7 +147,7 @@
 
 
 def settings_text(**limits: Any) -> dict[str, Any]:
-    """The settings object of tests/batch.txt, the same as the adapter's tests use."""
+    """Returns the settings object of tests/batch.txt, which the adapter's tests use as well."""
     text = (pathlib.Path(__file__).parent / "batch.txt").read_text()
     line = next(x for x in text.splitlines() if x.startswith("up\t"))
     loaded: dict[str, Any] = json.loads(line.split("\t", 2)[2])
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: calls and their answers, callers that misbehave, the figures, and bans by hand."""
+"""The console: commands and their answers, misbehaving callers, the figures, and suspended backends."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
                 writer.write(b"STAT")
             assert (await bed.console(b"STATUS\n")).startswith("done ")
             assert len(bed.program.console.connections) <= MAX_CONSOLE_CONNECTIONS
-            async with asyncio.timeout(SOON):  # the first to come made way, and was told
+            async with asyncio.timeout(SOON):  # the oldest was evicted, with an answer
                 assert (await held[0][0].read()).startswith(b"error ")
             for _, writer in held:
                 writer.transport.abort()
@@ -84,20 +84,20 @@
             bed.backends[0].script = [lambda writer, asked: writer.write(message(500))]
             assert (await client.ask(request(1, "extract", units="4")))[0] == 502
             assert (await client.ask(request(2, units="4")))[0] == 200
-            assert (await client.ask(request(3, units="8")))[0] == 429  # the bank held 8 of the 16
+            assert (await client.ask(request(3, units="8")))[0] == 429  # the token bank held 8 of the 16
             bed.backends[0].script = [lambda writer, asked: None]
             other = "00000000000000c2"
             client.send(request(4, customer=other))
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 3)
-            told = await figures(bed)
-            assert [told[k]["lookup"] for k in ("success", "busy", "failure")] == [1, 1, 0]
-            assert [told[k]["extract"] for k in ("success", "busy", "failure")] == [0, 0, 1]
-            assert told["backend_calls"] == 3 and told["inflight"] == 1
+            counted = await figures(bed)
+            assert [counted[k]["lookup"] for k in ("success", "busy", "failure")] == [1, 1, 0]
+            assert [counted[k]["extract"] for k in ("success", "busy", "failure")] == [0, 0, 1]
+            assert counted["backend_calls"] == 3 and counted["inflight"] == 1
             client.reset()
             async with asyncio.timeout(SOON):
-                while (told := await figures(bed))["inflight"]:
+                while (counted := await figures(bed))["inflight"]:
                     await asyncio.sleep(0.01)
-            assert told["backend_calls"] == 3
+            assert counted["backend_calls"] == 3
 
     run(test)
 
@@ -106,9 +106,9 @@
     async def test() -> None:
         async with running(backends=2) as bed:
             client = await bed.client()
-            for number in range(8):  # so that both have kept connections
+            for number in range(8):  # so that both have idle connections
                 await client.ask(request(number))
-            for _ in range(2):  # the call may be repeated
+            for _ in range(2):  # the command may be repeated
                 assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
             assert not bed.program.driver.pool.places["b1"].idle
             assert (await figures(bed))["hosts_down"] == 1
@@ -123,7 +123,7 @@
             assert len(bed.backends[1].seen) == before
             assert (await bed.console(b"RESTORE b1\n")).startswith("done ")
             async with asyncio.timeout(SOON):
-                while len(bed.backends[1].seen) == before:  # the first request after its turn goes there
+                while len(bed.backends[1].seen) == before:  # a first request is sent there
                     assert (await client.ask(request(30)))[0] in (200, 429)
             assert len(bed.backends[1].seen) == before + 1
             assert (await figures(bed))["hosts_down"] == 0
@@ -139,11 +139,11 @@
             async with asyncio.timeout(SOON):
                 while not bed.program.driver.pool.opening:
                     await asyncio.sleep(0)
-            taken, place = next((b, p) for b, p in bed.program.driver.pool.places.items() if p.waiting)
-            assert bed.program.driver.suspend(taken)
+            chosen, place = next((b, p) for b, p in bed.program.driver.pool.places.items() if p.waiting)
+            assert bed.program.driver.suspend(chosen)
             assert not place.waiting and not place.opening
             assert (await client.answer())[0] == 200
-            assert not bed.backends[int(taken[1:])].seen
+            assert not bed.backends[int(chosen[1:])].seen
 
     run(test)
 
@@ -151,11 +151,12 @@
 # draining
 
 
-async def asked(bed: Bed, line: bytes) -> dict[str, Any]:
+async def send_command(bed: Bed, line: bytes) -> dict[str, Any]:
+    """Returns the JSON object of the console's answer, which must be a done."""
     answer = await bed.console(line + b"\n")
     assert answer.startswith("done "), answer
-    told: dict[str, Any] = json.loads(answer.removeprefix("done "))
-    return told
+    loaded: dict[str, Any] = json.loads(answer.removeprefix("done "))
+    return loaded
 
 
 def test_what_is_out_at_a_backend_is_told_with_how_it_is_listed() -> None:
@@ -175,21 +176,23 @@
                 await asyncio.sleep(0.001)
             where = next(n for n, b in enumerate(bed.backends) if b.seen)
             name = f"b{where}"
-            assert await asked(bed, f"OUT {name}".encode()) == {"state": "serving", "out": 1, "list": 1}
-            assert (await asked(bed, f"OUT b{1 - where}".encode()))["out"] == 0
+            assert await send_command(bed, f"OUT {name}".encode()) == {
+                "state": "serving", "out": 1, "list": 1}
+            assert (await send_command(bed, f"OUT b{1 - where}".encode()))["out"] == 0
             times = len(bed.discovery.asked)
             await bed.discovery.change(bed.discovery.entry(name, bed.backends[where].address, "DRAINING"))
             await bed.discovery.until_asked(times + 1)
-            assert await asked(bed, f"OUT {name}".encode()) == {"state": "draining", "out": 1, "list": 2}
+            assert await send_command(bed, f"OUT {name}".encode()) == {
+                "state": "draining", "out": 1, "list": 2}
             free.set()
             assert (await client.answer())[0] == 200
-            assert (await asked(bed, f"OUT {name}".encode()))["out"] == 0
+            assert (await send_command(bed, f"OUT {name}".encode()))["out"] == 0
             await bed.console(f"SUSPEND b{1 - where}\n".encode())
-            assert (await asked(bed, f"OUT b{1 - where}".encode()))["state"] == "taken out"
+            assert (await send_command(bed, f"OUT b{1 - where}".encode()))["state"] == "taken out"
             await bed.discovery.change({"instanceId": name, "lifecycle": "DELETED"})
             await bed.discovery.until_asked(times + 2)
-            assert (await asked(bed, f"OUT {name}".encode()))["state"] == "gone"
-            assert (await asked(bed, b"OUT nobody"))["state"] == "unknown"
+            assert (await send_command(bed, f"OUT {name}".encode()))["state"] == "gone"
+            assert (await send_command(bed, b"OUT nobody"))["state"] == "unknown"
 
     run(test)
 
@@ -198,22 +201,22 @@
     async def test() -> None:
         async with running() as bed:
             client = await bed.client()
-            told = await asked(bed, b"DRAIN")
-            assert (told["phase"], told["ready"]) == ("lame duck", False)
-            assert (await asked(bed, b"DRAIN"))["phase"] == "lame duck"  # said again, it changes nothing
+            answer = await send_command(bed, b"DRAIN")
+            assert (answer["phase"], answer["ready"]) == ("lame duck", False)
+            assert (await send_command(bed, b"DRAIN"))["phase"] == "lame duck"  # repeated, it changes nothing
             assert (await client.ask(READY))[0] == 503
             assert (await bed.console(b"STATUS\n")).startswith("error ")
             status, headers, _ = await client.ask(request(1))
             assert status == 200 and "connection" not in headers
-            assert (await asked(bed, b"SERVE"))["phase"] == "serving"
+            assert (await send_command(bed, b"SERVE"))["phase"] == "serving"
             assert (await client.ask(READY))[0] == 200 and not bed.program.stop_requested.is_set()
-            assert (await asked(bed, b"SERVE"))["ready"]
+            assert (await send_command(bed, b"SERVE"))["ready"]
             bed.program.lame_duck_time = 0.0
-            await asked(bed, b"DRAIN")
+            await send_command(bed, b"DRAIN")
             async with asyncio.timeout(SOON):
                 await bed.program.stop_requested.wait()
             assert (await bed.console(b"SERVE\n")).startswith("error it is too late")
-            bed.program.final_state_reported.set()  # nobody waits for its last word
+            bed.program.final_state_reported.set()  # the console need not stay open
 
     run(test)
 
@@ -228,7 +231,7 @@
             deaf.send(request(1))
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
             bed.program.lame_duck_time = 0.0
-            await asked(bed, b"DRAIN")
+            await send_command(bed, b"DRAIN")
             await bed.program.stop_requested.wait()
             bed.program.final_state_reported.set()
             async with asyncio.timeout(SOON):
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver: one final answer a request, the module's decisions carried out, and the guard behind them."""
+"""The driver: one final answer per request, the execution of the module's actions, and the guard timer."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tests.peers import Step, serve
 
 
-def says(text: bytes) -> Step:
+def writes(text: bytes) -> Step:
     return lambda writer, asked: writer.write(text)
 
 
-def cuts(writer: asyncio.StreamWriter, asked: Asked) -> None:
+def closes_connection(writer: asyncio.StreamWriter, asked: Asked) -> None:
     writer.transport.abort()
 
 
 def scripted(bed: Bed, step: Step) -> None:
-    """The first attempt meets `step`, whichever backend the module draws for it."""
+    """Has the first attempt answered by `step`, whichever backend the module chooses for it."""
     done: list[bool] = []
 
     def once(writer: asyncio.StreamWriter, asked: Asked) -> None:
@@ -38,13 +38,13 @@
 
 
 @pytest.mark.parametrize(("step", "klass", "status", "attempts"), [
-    (says(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
-    (says(message(503)), "extract", 502, 1),
-    (says(message(500)), "extract", 502, 1),
-    (says(b"rubbish\r\n\r\n"), "extract", 502, 1),
-    (cuts, "extract", 502, 1),
-    (cuts, "lookup", 200, 2),
-    (cuts, "report", 200, 2),
+    (writes(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
+    (writes(message(503)), "extract", 502, 1),
+    (writes(message(500)), "extract", 502, 1),
+    (writes(b"rubbish\r\n\r\n"), "extract", 502, 1),
+    (closes_connection, "extract", 502, 1),
+    (closes_connection, "lookup", 200, 2),
+    (closes_connection, "report", 200, 2),
 ])
 def test_only_what_never_ran_is_sent_again_where_repeats_do_harm(
     step: Step, klass: str, status: int, attempts: int
@@ -88,7 +88,7 @@
 def test_a_silent_backend_gives_a_final_answer_before_the_client_leaves() -> None:
     async def test() -> None:
         async with running() as bed:
-            bed.backends[0].script = [says(b"")]
+            bed.backends[0].script = [writes(b"")]
             client = await bed.client()
             client.send(request(1, "extract", budget=0.4))
             left = asyncio.get_running_loop().create_future()
@@ -128,7 +128,7 @@
             client = await bed.client()
             monkeypatch.setattr(Gateway, "handle", handle)
             assert (await client.ask(request(1)))[0] == 502
-            assert (await client.ask(request(2)))[0] == 502  # the next answer is its own, not a leftover
+            assert (await client.ask(request(2)))[0] == 502  # its own answer, no leftover
             assert not bed.seen()
 
     run(test)
@@ -136,7 +136,7 @@
 
 def test_what_the_module_refuses_is_answered_at_once_with_word_when_to_come_back() -> None:
     async def test() -> None:
-        for honoured in (True, False):  # whatever the settings say of the clients, one of them may
+        for honoured in (True, False):  # a client may honour Retry-After whatever the settings say
             env = roomy_settings(retry_after=honoured)
             env["packages"][0].update(peak_units=16.0, units_per_s=0.001)
             async with running(env=env) as bed:
@@ -171,7 +171,7 @@
                 await client.ask(request(number, units="8"))
             with caplog.at_level("INFO", logger="embersill"):
                 bed.program.driver.log_figures()
-                bed.program.driver.log_figures()  # nothing since: no line
+                bed.program.driver.log_figures()  # logs no line, as nothing has changed
             lines = [re.sub(r"pool waited ms \d+, ", "", line) for line in caplog.messages]
             assert lines == [
                 "attempt served 1, busy 2, gave up over quota 2, list asked 2, pool opened 1, pool waited 1,"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades: what a successor gets, and that it starts all the same where it gets nothing."""
+"""Hand-over to a successor: what it receives, and that it starts even if it receives nothing."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
             idle, busy = await bed.client(), await bed.client()
             assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
             assert (await idle.ask(request(1, units="8")))[0] == 200
-            assert (await idle.ask(request(2, units="8")))[0] == 429  # its bank here is empty
+            assert (await idle.ask(request(2, units="8")))[0] == 429  # the token bank here is empty
 
             async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
                 await free.wait()
@@ -52,7 +52,7 @@
             assert first.driver.pool.links and not first.driver.pool.idle()
             new = await bed.client()
             assert (await new.ask(request(4, customer="00000000000000c3")))[0] == 200
-            assert (await idle.ask(request(5, units="8")))[0] == 429  # and is not full at the successor
+            assert (await idle.ask(request(5, units="8")))[0] == 429  # and the successor's is not full
             assert (await idle.ask(request(6, customer="00000000000000c4")))[0] == 200
             assert (counted(second, "success"), counted(second, "busy")) == (2, 1)
             assert not bed.backends[1].seen and second.driver.gateway.banned == {"b1"}
@@ -82,7 +82,7 @@
             assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
             assert first.driver.gateway.banned == {"b0", "b1"}
             await first.stop(0.0, 0.0)
-            second.handover.close()  # as if it were killed: it gives nothing away
+            second.handover.close()  # as if it were killed: it hands nothing over
             await second.front.stop_listening()
             third = await bed.successor(env, folder)
             assert third.driver.gateway.banned == {"b0", "b1"}
@@ -114,7 +114,8 @@
     run(test)
 
 
-async def told(bed: Bed, program: Program, line: bytes) -> Any:
+async def send_command(bed: Bed, program: Program, line: bytes) -> Any:
+    """Returns the console's answer: the JSON object of a done, or the text of an error."""
     answer = await bed.console(line + b"\n", program=program)
     return json.loads(answer.removeprefix("done ")) if answer.startswith("done ") else answer
 
@@ -123,7 +124,7 @@
     async def test() -> None:
         env, folder = roomy_settings(), str(tmp_path)
         async with running(env=env, folder=folder) as bed:
-            first, ask = bed.program, functools.partial(told, bed)
+            first, ask = bed.program, functools.partial(send_command, bed)
             first.lame_duck_time = 60.0
             client = await bed.client()
             assert (await client.ask(request(1)))[0] == 200
@@ -133,13 +134,14 @@
             assert (old["phase"], old["successor"]) == ("handed over", second.handover.console_address)
             assert (new["phase"], new["ready"]) == ("lame duck", False) and "successor" not in new
             left, rest = second.lame_duck.remaining(), first.lame_duck.remaining()
-            assert left is not None and rest is not None and abs(rest - left) < 1 and first.lame_duck.timer is None
+            assert (left is not None and rest is not None and abs(rest - left) < 1
+                    and first.lame_duck.timer is None)
             assert second.handover.console_address in await ask(first, b"DRAIN")
             assert second.handover.console_address in await ask(first, b"SERVE")
             assert (await ask(second, b"STATUS")).startswith("error a lame duck")
             assert (await client.ask(READY))[0] == 503
             assert (await client.ask(request(2)))[0] == 200 and counted(second, "success") == 1
-            # what staff say at the successor also holds if it dies and the first has to serve on
+            # an operator's command at the successor still holds if it exits and the first has to serve on
             assert (await ask(second, b"SERVE"))["phase"] == "serving"
             assert (await client.ask(READY))[0] == 200
             assert (await ask(second, b"DRAIN"))["phase"] == "lame duck"
@@ -151,12 +153,12 @@
             async with asyncio.timeout(SOON):
                 while first.handover.handed_over:
                     await asyncio.sleep(0.01)
-            took_back = await ask(first, b"PHASE")
-            assert took_back["phase"] == "lame duck" and "successor" not in took_back
+            resumed = await ask(first, b"PHASE")
+            assert resumed["phase"] == "lame duck" and "successor" not in resumed
             assert first.lame_duck.timer is not None
             assert (await (await bed.client()).ask(request(3)))[0] == 200
             for program in (first, second):
-                program.signal_received.set()  # nobody waits for their last words
+                program.signal_received.set()  # the console need not stay open
             await second.stop(0.0, 0.0)
 
     run(test)
@@ -182,15 +184,16 @@
                 while not first.front.stopping:
                     await asyncio.sleep(0.01)
             second = await bed.successor(env, folder)
-            assert not first.handover.handed_over and second.front.is_ready() and second.lame_duck.ends_at is None
-            word = await told(bed, first, b"PHASE")
-            assert (word["phase"], word["open"], word["successor"]) == (
+            assert (not first.handover.handed_over and second.front.is_ready()
+                    and second.lame_duck.ends_at is None)
+            answer = await send_command(bed, first, b"PHASE")
+            assert (answer["phase"], answer["open"], answer["successor"]) == (
                 "closing", 1, second.handover.console_address)
             assert (await (await bed.client()).ask(request(2)))[0] == 200
             free.set()
             assert (await busy.answer())[0] == 200 and await busy.closed()
             async with asyncio.timeout(SOON):
-                while (await told(bed, first, b"PHASE"))["phase"] != "empty":
+                while (await send_command(bed, first, b"PHASE"))["phase"] != "empty":
                     await asyncio.sleep(0.01)
                 await stopped
             await second.stop(0.0, 0.0)
@@ -205,7 +208,7 @@
     async def test() -> None:
         if state is not None:
             (tmp_path / STATE_FILE_NAME).write_text(state, encoding="utf-8")
-        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stale:  # of one that was killed
+        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stale:  # of a killed process
             stale.bind(str(tmp_path / SOCKET_NAME))
         async with running(folder=str(tmp_path)) as bed:
             client = await bed.client()
@@ -268,7 +271,7 @@
     listed = backends(backend("a"), backend("b", 1))
     old = gateway(plans=(CAPPED,), listed=listed, now=90.0)
     done = 0
-    for number in range(12):  # more than the bank: the rest is held or refused
+    for number in range(12):  # more than the token bank holds: the rest is queued or refused
         actions = old.handle(asked_for(number, "pay", "capped"), 100.0 + number / 1000)
         for action in actions:
             if isinstance(action, Send):
@@ -281,12 +284,12 @@
     state = old.hand_over(100.02)
     new = gateway(plans=(CAPPED,), listed=listed, now=100.02)
     new.handle(PredecessorState({**state, "banned": []}), 100.02)
-    taken = new.throttles["c"]
-    assert taken.level <= level + 0.1 * taken.rate
-    assert taken.cap + throttle.cap <= cap + 0.1 * taken.cap_rate
+    received = new.throttles["c"]
+    assert received.level <= level + 0.1 * received.rate
+    assert received.cap + throttle.cap <= cap + 0.1 * received.cap_rate
     assert new.retry_credit + old.retry_credit == pytest.approx(credit)
     assert sends(old.handle(asked_for(50, "pay", "capped"), 100.03)) == 0
-    # what both send in the next second is what the level, the rate and what was held allow
+    # together they send in the next second what the level, the rate and the queued requests allow
     both = 0
     for step in range(100):
         now = 100.03 + step / 100
@@ -294,7 +297,7 @@
         actions = new.handle(asked_for(100 + step, "pay", "capped"), now) + new.handle(
             TimerExpired("rc"), now)
         both += sends(actions)
-    assert both <= held + max(level, 0.0) + taken.rate + 1
+    assert both <= held + max(level, 0.0) + received.rate + 1
 
 
 def test_what_the_process_before_has_out_counts_until_it_has_ended() -> None:
@@ -312,11 +315,14 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"\r\n\r\n"])
-def test_a_client_that_asks_for_nothing_gets_no_more_time_from_a_successor(
+def test_a_client_that_sends_no_request_gets_no_more_time_from_a_successor(
     text: bytes, tmp_path: pathlib.Path
 ) -> None:
-    """Found by the soak, day 610: it was kept for 4 s and more, as each process gave it 2.5 s."""
-    owed, waits = 3.0, 1.5
+    """If each process starts its own 2.5 s for the first request, such a connection stays open for over 4 s.
+
+    Found by the soak, day 610.
+    """
+    limit, waits = 3.0, 1.5
 
     async def test() -> None:
         env, folder = roomy_settings(), str(tmp_path)
@@ -327,7 +333,7 @@
             await asyncio.sleep(waits)
             second = await bed.successor(env, folder)
             await silent.closed()
-            assert loop.time() - connected_at <= owed
+            assert loop.time() - connected_at <= limit
             await bed.program.stop(0.0, 1.0)
             await second.stop(0.0, 0.0)
 
@@ -339,19 +345,19 @@
 def test_a_request_that_comes_as_its_connection_is_handed_over_is_answered_once(
     step: str, then: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What is in the kernel goes over unread; the end of a client that went is the successor's to see."""
+    """Unread data is handed over with its connection, and the successor notices a disconnected client."""
     async def test() -> None:
         env, folder = roomy_settings(), str(tmp_path)
         async with running(env=env, folder=folder) as bed:
             client = await bed.client()
             assert (await client.ask(request(1)))[0] == 200
 
-            def cross() -> None:
+            def send_meanwhile() -> None:
                 client.put(request(2))
                 if then == "leaves":
                     client.reset()
 
-            before(monkeypatch, Handover, step, cross)
+            before(monkeypatch, Handover, step, send_meanwhile)
             second = await bed.successor(env, folder)
             if then == "stays":
                 status, headers, _ = await client.answer()
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -1,4 +1,4 @@
-"""Idle clients: requests that cross a close, a full house while discovery is down, and restarts."""
+"""Idle clients: requests that meet a close, all descriptors in use while discovery is down, and restarts."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from embersill.net.clients import READ_WITHIN
 from embersill.net.counter import Counter
 from tests.bed import READY, Bed, request, run, with_bed
-from tests.test_program import ROOT, RUN, drained, process, until_ready
+from tests.test_program import ROOT, RUN, process, send_command, until_ready
 
-READY_WITHIN = 10.0  # seconds in which a restarted gateway has to be ready, by the terms
+READY_WITHIN = 10.0  # seconds within which a restarted gateway must be ready
 
 
 def test_a_request_that_comes_as_a_silent_connection_is_closed_is_served() -> None:
@@ -45,14 +45,14 @@
         front.clock = clock
         assert (await client.answer())[0] == 200
         front.clock = lambda: clock() + 60.0
-        front.make_room()  # with nothing on its way it goes
+        front.make_room()  # closes it, as no request is under way
         assert await client.closed()
 
     with_bed(test)
 
 
 def test_every_socket_sends_small_writes_at_once() -> None:
-    # what the system holds back goes with a close over unread bytes
+    # Data that the kernel holds back is lost if the connection is closed with unread data.
     async def test(bed: Bed) -> None:
         client = await bed.client()
         assert (await client.ask(request(1)))[0] == 200
@@ -77,7 +77,7 @@
 def test_idle_clients_may_fill_the_descriptors_while_discovery_is_down(
     way: str, tmp_path: pathlib.Path
 ) -> None:
-    """Its news, the counter, the console, new clients and their attempts still get theirs."""
+    """Descriptors are left for discovery, the counter, the console, new clients and their attempts."""
     async def test() -> None:
         console, limit = free_port(), 96
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": limit}
@@ -90,13 +90,13 @@
                 for writer in list(bed.discovery.open):
                     writer.transport.abort()
             idle = []
-            for number in range(3 * limit):  # the later ones make the earlier ones go
+            for number in range(3 * limit):  # later ones replace earlier ones
                 client = await bed.client()
                 assert (await client.ask(request(number, customer=f"{number:016x}")))[0] == 200
                 idle.append(client)
             held = len(os.listdir(f"/proc/{child.pid}/fd"))
             assert held <= limit
-            assert (await drained(console, b"PHASE\n"))["phase"] == "serving"
+            assert (await send_command(console, b"PHASE\n"))["phase"] == "serving"
             bed.discovery.silent = False
             if way == "stopped":
                 await bed.discovery.start(int(port))
--- a/tests/test_incident_clock.py
+++ b/tests/test_incident_clock.py
@@ -1,4 +1,4 @@
-"""Incident of 2026-12: the wall clock of a machine is stepped; spans of time must stay what they are."""
+"""Incident of 2026-12: a step of a machine's wall clock must not change any duration."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_successor_whose_wall_clock_was_stepped_goes_on_where_the_other_stopped(
+def test_a_successor_whose_wall_clock_was_stepped_continues_with_the_same_levels(
     step: float, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Levels, the ceiling's store and windows are handed over as they are, whatever Unix time says."""
+    """Levels, the ceiling's tokens and time windows are handed over unchanged, whatever the Unix time is."""
 
     async def test() -> None:
         env, folder = roomy_settings(), str(tmp_path)
@@ -53,8 +53,8 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_ceilings_store_is_not_filled_by_a_step(step: float) -> None:
-    """Spent and handed over, it holds what its rate has brought since, and no more."""
+def test_a_clock_step_does_not_refill_a_ceiling(step: float) -> None:
+    """A ceiling that was used up and handed over holds only what its rate has added since."""
     plan = replace(CAPPED, rate=100.0, burst=100.0, ceiling_rate=100.0, ceiling_depth=200.0)
     first = gateway(now=1000.0, plans=(plan,), gateways=1, counter=False)
     first.throttles.clear()
@@ -72,32 +72,32 @@
     assert again <= 31
     throttle = next(iter(second.throttles.values()))
     throttle.refill(1001.3 + step)
-    assert throttle.cap >= 89.9  # and a step back does not shut it
+    assert throttle.cap >= 89.9  # and a step back does not keep it empty
 
 
 @pytest.mark.parametrize("step", [3600.0, 30.0, -30.0, -3600.0])
-@pytest.mark.parametrize("heard", ["changes", "quiet"])
-def test_a_start_told_while_the_list_is_followed_is_one_of_now(step: float, heard: str) -> None:
-    """True starts are by the fleet's clock, and this gateway's is ahead of it by the step."""
+@pytest.mark.parametrize("list_updates", ["changes", "quiet"])
+def test_a_backend_newly_listed_during_a_watch_has_just_started(step: float, list_updates: str) -> None:
+    """Listed start times are by the fleet's clock; this gateway's clock is ahead of it by the step."""
     now = 1000.0 + step
     made = gateway(now=now, listed=backends(backend("a"), backend("b", 1, started=10.0)))
-    for beat in range(1, 11):
+    for second in range(1, 11):
         now += 1.0
-        if heard == "changes" or beat % 4 == 0:
+        if list_updates == "changes" or second % 4 == 0:
             made.handle(BackendList(ListKind.CHANGES, ()), now)
-    told = backend("cold", started=now - step - 1.0)
-    made.handle(backends(told, kind=ListKind.CHANGES), now)
+    listed = backend("cold", started=now - step - 1.0)
+    made.handle(backends(listed, kind=ListKind.CHANGES), now)
     settings = made.settings
     server = made.servers["cold"]
-    most = settings.cold_from + (1.0 - settings.cold_from) * 1.0 / settings.warm_within
-    assert settings.cold_from <= server.cold_share(now, settings) <= most + 1e-9
-    assert server.cold_share(now + settings.warm_within, settings) == 1.0  # and it gets warm all the same
-    made.handle(backends(replace(told, status=BackendStatus.DRAINING), kind=ListKind.CHANGES), now)
-    made.handle(backends(told, kind=ListKind.CHANGES), now + 0.5)
+    max_share = settings.cold_from + (1.0 - settings.cold_from) * 1.0 / settings.warm_within
+    assert settings.cold_from <= server.cold_share(now, settings) <= max_share + 1e-9
+    assert server.cold_share(now + settings.warm_within, settings) == 1.0  # and it does get warm
+    made.handle(backends(replace(listed, status=BackendStatus.DRAINING), kind=ListKind.CHANGES), now)
+    made.handle(backends(listed, kind=ListKind.CHANGES), now + 0.5)
     assert made.servers["cold"].cold_share(now + settings.warm_within, settings) == 1.0
 
 
-def test_starts_in_the_first_lists_are_believed() -> None:
+def test_start_times_in_the_first_list_are_used_as_listed() -> None:
     made = gateway(
         now=1000.0,
         listed=backends(
@@ -110,8 +110,8 @@
     assert made.servers["warm"].full == {} and made.servers["warm"].links == inf
 
 
-def test_a_backend_that_was_off_the_list_for_a_while_is_the_same_process_if_its_start_is() -> None:
-    """Discovery leaves out what falls silent, and lists it again: no new start, and no slow start."""
+def test_a_backend_listed_again_with_the_same_start_time_gets_no_slow_start() -> None:
+    """Discovery removes a backend that stays silent, and lists it again later, though it never restarted."""
     made = gateway(now=1000.0, listed=backends(backend("a"), backend("b", 1, started=500.0)))
     made.handle(BackendList(ListKind.CHANGES, ()), 1010.0)
     made.handle(backends(backend("b", 1, BackendStatus.REMOVED, 500.0), kind=ListKind.CHANGES), 1011.0)
--- a/tests/test_incident_deadline.py
+++ b/tests/test_incident_deadline.py
@@ -1,6 +1,7 @@
-"""Incident of 2026-12: the time that a backend is told, where the gateway was held up before it read.
+"""Incident of 2026-12: X-Budget sent to a backend after the gateway was stopped before it read the request.
 
-Found by the soak (seed 101): holds in a row, and a backend told 0.54 s with 0.15 s left to the client.
+Found by the soak (seed 101): after several stops a backend was sent a budget of 0.54 s, while the client had
+0.15 s left.
 """
 
 from __future__ import annotations
@@ -17,12 +18,14 @@
 from tests.peers import SOON
 from tests.soak_bed import soak_bed
 
-SLACK = 0.15  # seconds that a backend may be told beyond what the client has left
-HELD_UP = 0.15  # seconds of each stop
+SLACK = 0.15  # seconds by which a backend's budget may exceed the client's remaining time
+STOP_TIME = 0.15  # seconds of each stop
 
 
-@pytest.mark.parametrize("held_up", [0.15, 0.3, 0.6])
-def test_a_backend_is_told_no_more_than_the_client_has_left(held_up: float, tmp_path: pathlib.Path) -> None:
+@pytest.mark.parametrize("stop_time", [0.15, 0.3, 0.6])
+def test_a_backends_budget_is_within_the_clients_remaining_time(
+    stop_time: float, tmp_path: pathlib.Path
+) -> None:
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
             assert await bed.ask("before") == 200
@@ -31,21 +34,21 @@
             bed.gateway.signal(signal.SIGSTOP)
             await asyncio.sleep(0.02)
             written = time.monotonic()
-            writer.write(bed.text("late", budget=held_up + 0.5))
-            await asyncio.sleep(held_up)
+            writer.write(bed.text("late", budget=stop_time + 0.5))
+            await asyncio.sleep(stop_time)
             bed.gateway.signal(signal.SIGCONT)
             async with asyncio.timeout(SOON):
                 first, _, _ = await read_message(reader)
             assert first.split()[1] == "200"
             attempt = bed.requests["late"].attempts[0]
-            left = written + held_up + 0.5 - attempt.whole_at
-            assert attempt.budget <= left + SLACK
-            assert attempt.budget >= left - 0.3  # and not much less than that
+            remaining = written + stop_time + 0.5 - attempt.whole_at
+            assert attempt.budget <= remaining + SLACK
+            assert attempt.budget >= remaining - 0.3  # and not much less than that
 
     run(test)
 
 
-def test_a_request_whose_time_is_over_when_it_is_read_is_refused_and_not_sent(tmp_path: pathlib.Path) -> None:
+def test_a_request_whose_budget_is_used_up_when_it_is_read_is_refused(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
             assert await bed.ask("before") == 200
@@ -64,11 +67,11 @@
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.0003, 0.0006, 0.001, 0.002])
-def test_hold_ups_in_a_row_count_from_the_first(gap: float, tmp_path: pathlib.Path) -> None:
-    """Seed 229 of the soak: a backend was told 0.906 s with 0.483 s left to the client, after stops in a row.
+def test_after_several_stops_time_counts_from_the_first(gap: float, tmp_path: pathlib.Path) -> None:
+    """Between two stops the gateway may run for a moment that is too short to read.
 
-    Woken between two stops for a moment that is too short to read, the gateway noted that it was awake, and
-    reckoned what had come in the first stop as if it had come after that moment.
+    It then took what had been sent in the first stop for received after that moment. Found by the soak
+    (seed 229): a backend was sent a budget of 0.906 s, while the client had 0.483 s left.
     """
 
     async def test() -> None:
@@ -83,11 +86,11 @@
                 written = time.monotonic()
                 writer.write(bed.text(call_id, budget=1.2))
                 for _ in range(3):
-                    await asyncio.sleep(HELD_UP)
+                    await asyncio.sleep(STOP_TIME)
                     bed.gateway.signal(signal.SIGCONT)
                     wait_busily(gap)
                     bed.gateway.signal(signal.SIGSTOP)
-                await asyncio.sleep(HELD_UP)
+                await asyncio.sleep(STOP_TIME)
                 bed.gateway.signal(signal.SIGCONT)
                 async with asyncio.timeout(SOON):
                     await read_message(reader)
@@ -100,7 +103,7 @@
 
 
 def wait_busily(seconds: float) -> None:
-    """Sleeps are too coarse for a gap under a millisecond."""
+    """Waits without sleeping, which is too coarse for less than a millisecond."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         pass
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself: its configuration, its stop on SIGTERM, and its life with few descriptors."""
+"""The gateway program: its configuration, its stop on SIGTERM, and its operation with few descriptors."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 import pytest
 
-from embersill.__main__ import FINAL_READ_TIME, ACCEPT_AFTER_SIGTERM
+from embersill.__main__ import ACCEPT_AFTER_SIGTERM, FINAL_READ_TIME
 from embersill.lab.peers import HOST, Asked, free_port
 from embersill.net.clients import SETTLED
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import SOON, DiscoveryPeer, serve
 
 ROOT = pathlib.Path(__file__).parent.parent
-# the deploy file's command where .ci/run names it, so that what is deployed is what is tested
+# the command of the deploy file if .ci/run sets it, so that the deployed program is tested
 RUN = os.environ.get("EMBERSILL_RUN") or f"exec {shlex.quote(sys.executable)} -m embersill"
 
 
@@ -37,7 +37,7 @@
                           capture_output=True, timeout=60, check=False)
 
 
-def told() -> dict[str, Any]:
+def configuration() -> dict[str, Any]:
     return {"name": "n0", "listen": f"{HOST}:1", "discovery": f"{HOST}:2", "counter": f"{HOST}:3",
             "seed": "8c1f", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"generation": 1, "reset": True, "instances": []}, "settings": roomy_settings()}
@@ -49,13 +49,13 @@
     ("pool", {"opening": 0}),
 ])
 def test_a_wrong_configuration_is_told_in_one_line(key: str, wrong: Any, tmp_path: pathlib.Path) -> None:
-    text = told()
+    content = configuration()
     if wrong is None:
-        del text[key]
+        del content[key]
     else:
-        text[key] = wrong
+        content[key] = wrong
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(text))
+    path.write_text(json.dumps(content))
     done = start(str(path))
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and not done.stdout
 
@@ -72,14 +72,15 @@
 async def process(
     tmp_path: pathlib.Path, descriptors: int = 0, **more: Any
 ) -> AsyncIterator[tuple[Bed, Any]]:
-    """The program as a process of its own, with the peers in this one."""
+    """Runs the program in a process of its own, with its peers in this one."""
     bed = Bed(1)
     for peer in (*bed.backends, bed.discovery, bed.counter):
         await peer.start()
     bed.discovery.entries = {"b0": bed.discovery.entry("b0", bed.backends[0].address)}
     bed.port = free_port()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**bed.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}", **more}))
+    path.write_text(json.dumps({
+        **bed.configuration(roomy_settings(), 1024), "listen": f"{HOST}:{bed.port}", **more}))
 
     def limit() -> None:
         if descriptors:
@@ -128,11 +129,11 @@
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
             child.send_signal(signal.SIGTERM)
             status = 200
-            while status == 200:  # until the signal has come through
+            while status == 200:  # until the process has handled the signal
                 new = await bed.client()
                 status, headers, _ = await new.ask(READY)
             assert status == 503 and headers["connection"] == "close"
-            new = await bed.client()  # still taken in, and a kept connection is still good
+            new = await bed.client()  # is still accepted, and a keep-alive connection can still be used
             status, headers, _ = await new.ask(request(2))
             assert status == 200 and headers["connection"] == "close" and await new.closed()
             assert (await kept.ask(request(3)))[0] == 200 and await kept.closed()
@@ -152,11 +153,11 @@
             path, moved = tmp_path / "config.json", DiscoveryPeer()
             await moved.start()
             moved.generation, moved.entries = 7, dict(bed.discovery.entries)
-            told = json.loads(path.read_text())
-            path.write_text("{")  # a broken file changes nothing and ends nothing
+            original = json.loads(path.read_text())
+            path.write_text("{")  # an invalid file changes nothing and ends nothing
             child.send_signal(signal.SIGHUP)
             assert b"stays as it was" in await child.stderr.readline()
-            path.write_text(json.dumps({**told, "discovery": moved.address}))
+            path.write_text(json.dumps({**original, "discovery": moved.address}))
             child.send_signal(signal.SIGHUP)
             await moved.until_asked(2)
             assert "since=7" in moved.asked[1]
@@ -177,15 +178,15 @@
         console = free_port()
         async with process(tmp_path, console=f"{HOST}:{console}") as (bed, child):
             path = tmp_path / "config.json"
-            told = json.loads(path.read_text())
+            original = json.loads(path.read_text())
             client = await bed.client()
             for number, pool in enumerate(({"margin": "x"}, {"margin": 14.9})):
-                path.write_text(json.dumps({**told, "pool": pool}))
+                path.write_text(json.dumps({**original, "pool": pool}))
                 child.send_signal(signal.SIGHUP)
                 line = (await child.stderr.readline()).decode()
                 assert ("the configuration stays as it was" in line) == (not number), line
                 assert (await client.ask(request(number)))[0] == 200
-            await asyncio.sleep(0.2)  # longer than connections may now stand idle
+            await asyncio.sleep(0.2)  # longer than connections may now be idle
             assert (await client.ask(request(2)))[0] == 200
             assert bed.backends[0].connections == 2
 
@@ -193,7 +194,7 @@
 
 
 def test_more_clients_than_descriptors_are_all_answered(tmp_path: pathlib.Path) -> None:
-    # the loop's own server closes a connection that it has no descriptor for, with the request on it
+    # The event loop's own server closes a connection for which it has no descriptor, and loses the request.
     async def test() -> None:
         async with process(tmp_path, descriptors=40) as (bed, child):
             clients = [await bed.client() for _ in range(60)]
@@ -212,18 +213,19 @@
     run(test)
 
 
-# the ends of a process
+# how a process ends
 
 
-async def drained(console: int, line: bytes = b"DRAIN\n") -> dict[str, Any]:
+async def send_command(console: int, line: bytes = b"DRAIN\n") -> dict[str, Any]:
+    """Returns the JSON object of the console's answer, which must be a done."""
     reader, writer = await asyncio.open_connection(HOST, console)
     writer.write(line)
     async with asyncio.timeout(SOON):
-        word, _, told = (await reader.read()).decode().partition(" ")
+        word, _, rest = (await reader.read()).decode().partition(" ")
     writer.close()
-    assert word == "done", told
-    loaded: dict[str, Any] = json.loads(told)
-    return loaded
+    assert word == "done", rest
+    answer: dict[str, Any] = json.loads(rest)
+    return answer
 
 
 def test_a_drained_gateway_waits_for_a_long_answer_and_serves_what_was_sent_behind_it(
@@ -247,21 +249,22 @@
             client, late = await bed.client(), await bed.client()
             client.send(request(1))
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) >= 1)
-            # each goes out on a connection of its own: sent together they may reach the backend in any order
+            # Each is sent on a connection of its own; together they might reach the backend in any order.
             client.send(request(2) + request(3))
-            assert (await drained(console))["phase"] == "lame duck"
-            assert (await late.ask(request(4)))[0] == 200  # it serves on
-            while (await drained(console, b"PHASE\n"))["phase"] == "lame duck":
+            assert (await send_command(console))["phase"] == "lame duck"
+            assert (await late.ask(request(4)))[0] == 200  # it still serves
+            while (await send_command(console, b"PHASE\n"))["phase"] == "lame duck":
                 await asyncio.sleep(0.02)
-            await asyncio.sleep(4.0)  # longer than a SIGTERM leaves: no kill is due after a drain
-            assert (await drained(console, b"PHASE\n"))["phase"] == "closing" and child.returncode is None
+            await asyncio.sleep(4.0)  # longer than the time after a SIGTERM: no SIGKILL follows a drain
+            assert ((await send_command(console, b"PHASE\n"))["phase"] == "closing"
+                    and child.returncode is None)
             ended.set()
             answers = [await client.answer() for _ in range(3)]
             assert [status for status, _, _ in answers] == [200] * 3 and len(answers[0][2]) == 100_000
             assert await client.closed()
-            while (told := await drained(console, b"PHASE\n"))["phase"] != "empty":
+            while (answer := await send_command(console, b"PHASE\n"))["phase"] != "empty":
                 await asyncio.sleep(0.02)
-            assert told["open"] == 0
+            assert answer["open"] == 0
             async with asyncio.timeout(SOON):
                 assert await child.wait() == 0
 
@@ -269,8 +272,8 @@
 
 
 async def until_closing(console: int) -> None:
-    assert (await drained(console))["phase"] == "lame duck"
-    while (await drained(console, b"PHASE\n"))["phase"] == "lame duck":
+    assert (await send_command(console))["phase"] == "lame duck"
+    while (await send_command(console, b"PHASE\n"))["phase"] == "lame duck":
         await asyncio.sleep(0.005)
 
 
@@ -281,18 +284,19 @@
             kept = await bed.client()
             assert (await kept.ask(request(1)))[0] == 200
             await until_closing(console)
-            child.send_signal(signal.SIGSTOP)  # what comes from here on waits in the accept queue
+            child.send_signal(signal.SIGSTOP)  # later connections wait in the accept queue
             late = [await bed.client() for _ in range(2)]
             for number, client in enumerate([kept, *late]):
                 client.send(request(2 + number))
-            await asyncio.sleep(ACCEPT_AFTER_SIGTERM + FINAL_READ_TIME)  # past the time in which clients still connect
+            # until after the time in which clients are accepted
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM + FINAL_READ_TIME)
             child.send_signal(signal.SIGCONT)
             for client in (kept, *late):
                 status, headers, _ = await client.answer()
                 assert status == 200 and headers["connection"] == "close" and await client.closed()
-            assert (await drained(console, b"PHASE\n"))["phase"] in ("closing", "empty")
+            assert (await send_command(console, b"PHASE\n"))["phase"] in ("closing", "empty")
             async with asyncio.timeout(SOON):
-                while (await drained(console, b"PHASE\n"))["phase"] != "empty":
+                while (await send_command(console, b"PHASE\n"))["phase"] != "empty":
                     await asyncio.sleep(0.01)
                 assert await child.wait() == 0
 
@@ -305,16 +309,16 @@
             program, client = bed.program, await bed.client()
             assert (await client.ask(request(1)))[0] == 200
             await asyncio.sleep(2 * SETTLED)
-            close, crossed = program.front.close_unasked, False
+            close, sent = program.front.close_unasked, False
 
-            def crossing() -> bool:
-                nonlocal crossed
-                if not crossed:  # in the kernel now, and the loop has had no turn to read it
-                    crossed = True
+            def send_and_close() -> bool:
+                nonlocal sent
+                if not sent:  # the kernel has it now, and the event loop had no turn to read it
+                    sent = True
                     os.write(client.writer.get_extra_info("socket").fileno(), request(2))
                 return close()
 
-            program.front.close_unasked = crossing  # type: ignore[method-assign]
+            program.front.close_unasked = send_and_close  # type: ignore[method-assign]
             program.lame_duck.set(60.0)
             program.final_state_reported.set()
             await program.stop()
@@ -328,7 +332,7 @@
     async def test() -> None:
         console = free_port()
         async with process(tmp_path, console=f"{HOST}:{console}", lame_duck_s=600) as (bed, child):
-            assert (await drained(console))["phase"] == "lame duck"
+            assert (await send_command(console))["phase"] == "lame duck"
             assert (await (await bed.client()).ask(request(1)))[0] == 200
             child.send_signal(signal.SIGTERM)
             child.send_signal(signal.SIGTERM)  # and a second one changes nothing
@@ -354,12 +358,12 @@
 
 def test_a_sigterm_at_any_moment_of_the_start_ends_it(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**told(), "listen": f"{HOST}:{free_port()}"}))
+    path.write_text(json.dumps({**configuration(), "listen": f"{HOST}:{free_port()}"}))
     for step in range(12):
         child = subprocess.Popen(["/bin/sh", "-c", RUN], cwd=ROOT, stderr=subprocess.PIPE, text=True,
                                  env={**os.environ, "RELAY_CONFIG": str(path)})
         try:
-            time.sleep(0.05 * step)  # wherever it is by then: it must end, and not by an error of its own
+            time.sleep(0.05 * step)  # whatever it does by then, it must end, and without an exception
             child.terminate()
             _, err = child.communicate(timeout=SOON)
         finally:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,6 +1,6 @@
-"""What comes in the instants of a shutdown, over loopback sockets: none taken is lost, none late is sent on.
+"""Requests that arrive during a shutdown: no accepted one is lost, and no late one is sent to a backend.
 
-A crossing is forced by doing the client's part from inside the step of the shutdown that it crosses.
+The race is forced: the client sends from within the shutdown step that its request is to meet.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import pytest
 
-from embersill.__main__ import KILL_MARGIN, KILL_DELAY, MAX_COUNTED_DEADLINE, Program
+from embersill.__main__ import KILL_DELAY, KILL_MARGIN, MAX_COUNTED_DEADLINE, Program
 from embersill.lab.peers import Asked
 from embersill.net.clients import ACCEPTS, SETTLED
 from embersill.net.driver import MIN_REMAINING_TIME
@@ -37,7 +37,7 @@
 def test_a_request_read_after_the_last_moment_is_refused_and_not_sent_on(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.net.clients.SETTLED", 60.0)  # it is not closed as an idle one
+    monkeypatch.setattr("embersill.net.clients.SETTLED", 60.0)  # keeps the idle connection open
 
     async def test(bed: Bed) -> None:
         client = await bed.client()
@@ -62,7 +62,7 @@
         driver.stop_deadline = clock() + MIN_REMAINING_TIME / 2
         assert refused_with_advice(await late.ask(request(2))) and await late.closed()
         assert len(bed.seen()) == 1 and not driver.pending
-        body = b"x" * 100_000  # the same for one whose body is passed on as it comes
+        body = b"x" * 100_000  # the same for a body that is streamed
         assert refused_with_advice(await last.ask(request(3, "extract", body=body)))
         assert len(bed.seen()) == 1
 
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("deadline", [0.4, 1.0, 30.0])
 def test_all_is_answered_before_the_kill_that_the_settings_deadlines_allow(deadline: float) -> None:
-    """With deadlines of 1 s the kill may come 1.7 s after SIGTERM; the end took up to 3.4 s."""
+    """With deadlines of 1 s SIGKILL may follow 1.7 s after SIGTERM, while a shutdown took up to 3.4 s."""
     async def test(bed: Bed) -> None:
         program = bed.program
         kill = min(deadline, MAX_COUNTED_DEADLINE) + KILL_DELAY
@@ -118,7 +118,7 @@
 
 
 def test_all_that_waits_to_be_accepted_at_the_end_is_taken_in() -> None:
-    """A listener that closes resets what waits; 64 connections were taken in and the others lost."""
+    """Closing a listener resets the connections in its queue: only 64 were accepted and the others lost."""
     async def test(bed: Bed) -> None:
         front = bed.program.front
         front.pause_accepting()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace: each request's way by its id, the reason of every end, and a bound on its lines."""
+"""The trace: the events of a request by its id, the reason for every end, and the limit on its lines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return [{name: value.strip('"') for name, value in line} for line in pairs]
 
 
-def test_a_request_is_followed_by_its_id(caplog: pytest.LogCaptureFixture) -> None:
+def test_all_events_of_a_request_carry_its_id(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "embersill.trace")
 
     async def test(bed: Bed) -> None:
@@ -34,19 +34,19 @@
             await asyncio.sleep(0.001)
 
     with_bed(test, backends=2)
-    told = events(caplog)
-    mine = [e for e in told if e.get("request") == f"{7:016x}"]
+    traced = events(caplog)
+    mine = [e for e in traced if e.get("request") == f"{7:016x}"]
     assert mine[0]["event"] == "request_taken"
     assert sum(e["event"] == "attempt_ended" for e in mine) == sum(e["event"] == "attempt_sent" for e in mine)
     sent = [e for e in mine if e["event"] == "attempt_sent"]
     assert sent[0]["reason"] == "first" and all(e["reason"] == "turned away" for e in sent[1:])
     ended = [e for e in mine if e["event"] == "request_ended"]
     assert len(ended) == 1 and ended[0]["status"] == "200" and ended[0]["attempts"] == str(len(sent))
-    closed = [e for e in told if e["event"] == "client_connection_closed"]
+    closed = [e for e in traced if e["event"] == "client_connection_closed"]
     assert [e["reason"] for e in closed] == ["the client has gone"]
 
 
-def test_the_reason_of_a_refusal_is_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_reason_for_a_refusal_is_traced(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "embersill.trace")
 
     async def test(bed: Bed) -> None:
@@ -58,12 +58,12 @@
         assert (await (await bed.client()).ask(request(8)))[0] == 429
 
     with_bed(test)
-    told = events(caplog)
-    assert any(e["event"] == "backend_told" and e["state"] == "draining" for e in told)
-    assert [e["reason"] for e in told if e["event"] == "request_ended"] == ["no backend"]
+    traced = events(caplog)
+    assert any(e["event"] == "backend_told" and e["state"] == "draining" for e in traced)
+    assert [e["reason"] for e in traced if e["event"] == "request_ended"] == ["no backend"]
 
 
-def test_a_flood_is_bounded_and_counted(caplog: pytest.LogCaptureFixture) -> None:
+def test_lines_beyond_the_rate_are_dropped_and_counted(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "embersill.trace")
     now = [100.0]
     trace = Trace(lambda: now[0])
@@ -71,16 +71,16 @@
         trace.note("something")
     now[0] += 1.0
     trace.note("later")
-    told = events(caplog)
-    assert len(told) == BURST_LINES + 1 and told[-1]["left_out"] == "50"
+    traced = events(caplog)
+    assert len(traced) == BURST_LINES + 1 and traced[-1]["left_out"] == "50"
 
 
-def test_it_is_off_unless_it_is_asked_for() -> None:
+def test_the_trace_is_off_unless_the_environment_asks_for_it() -> None:
     assert make_trace({}, lambda: 0.0) is None and make_trace({"EMBERSILL_TRACE": "0"}, lambda: 0.0) is None
     assert make_trace({"EMBERSILL_TRACE": "1"}, lambda: 0.0) is not None
 
 
-def test_lag_is_counted_by_the_step_that_it_reaches() -> None:
+def test_loop_lag_is_counted_in_the_highest_bucket_that_it_reaches() -> None:
     lag = LoopLag()
     for seconds in (-0.001, 0.004, 0.02, 0.049, 0.3):
         lag.record(seconds)
