--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -23,12 +23,12 @@
 from embersill.net.clients import BACKLOG, Front
 from embersill.net.console import MOST_CALLERS, Console, Refused
 from embersill.net.counter import Counter, CounterClient
-from embersill.net.discovery import LEAST_LIST, LIST_COST, MOST_LIST, Discovery
+from embersill.net.discovery import MIN_LIST_BYTES, LIST_MEMORY_FACTOR, MAX_LIST_BYTES, Discovery
 from embersill.net.driver import Driver
 from embersill.net.handover import Handover
 from embersill.net.lameduck import LameDuck
-from embersill.net.list_feed import SLICE, list_decoder
-from embersill.net.listing import Address, BadList, Listing, read_address, read_addresses, read_listing
+from embersill.net.list_feed import SLICE_ENTRIES, list_decoder
+from embersill.net.listing import Address, InvalidList, Listing, read_address, read_addresses, read_listing
 from embersill.net.listening import open_listener
 from embersill.net.trace import make_trace
 from embersill.settings import Limits, read_aggregation, read_limits, read_pool, read_settings
@@ -101,7 +101,7 @@
         raise BadConfiguration(f"{path}: {error.strerror}") from error
     except KeyError as error:
         raise BadConfiguration(f"{path}: {error.args[0]} is missing") from error
-    except (ValueError, TypeError, AttributeError, BadList) as error:
+    except (ValueError, TypeError, AttributeError, InvalidList) as error:
         raise BadConfiguration(f"{path}: {' '.join(str(error).split())}") from error
 
 
@@ -177,13 +177,13 @@
             told.discovery, told.limits.dial_timeout, self.driver.list_told, version, told.seed,
             told.settings.gateways, told.limits.grace if told.settings.list_pushed else None,
             told.known.entries)
-        if len(told.known.entries) > SLICE:
+        if len(told.known.entries) > SLICE_ENTRIES:
             list_decoder()  # now, and not when the first long list has come
         self.driver.list_figures = self.discovery.figures
         memory = max(told.memory_mb * MB - BASE_MEMORY, 0)
-        self.discovery.most_list = int(min(max(memory / LIST_COST, LEAST_LIST), MOST_LIST))
+        self.discovery.max_list_bytes = int(min(max(memory / LIST_MEMORY_FACTOR, MIN_LIST_BYTES), MAX_LIST_BYTES))
         if len(told.discovery) > 1:
-            self.driver.list_age = self.discovery.age
+            self.driver.list_age = self.discovery.list_age
         room = memory * BODIES_PART / (2 * clients)
         share = int(min(max(room, LEAST_SHARE), MOST_SHARE))
         self.front = Front(self.driver, told.settings, clock, clients, self.serves, share)
@@ -253,7 +253,7 @@
     async def out(self, words: list[str]) -> str:
         backend = only_id(words)
         told = {"state": self.driver.standing(backend), "out": self.driver.out(backend),
-                "list": self.discovery.newest}
+                "list": self.discovery.newest_generation}
         return self.done(told)
 
     def done(self, told: dict[str, Any]) -> str:
@@ -355,7 +355,7 @@
         self.following = self.loop.create_task(self.discovery.run())
         try:
             async with asyncio.timeout(FIRST_LIST_WITHIN):
-                await self.discovery.heard.wait()
+                await self.discovery.has_responded.wait()
         except TimeoutError:
             pass
         if not succeeds or not await self.handover.take_over():
@@ -376,8 +376,8 @@
         except BadConfiguration as error:
             return log.warning("the configuration stays as it was: %s", error)
         log.info("discovery is at %s now", ",".join(f"{host}:{port}" for host, port in told.discovery))
-        self.driver.list_age = self.discovery.age if len(told.discovery) > 1 else None
-        self.discovery.move(told.discovery)
+        self.driver.list_age = self.discovery.list_age if len(told.discovery) > 1 else None
+        self.discovery.set_addresses(told.discovery)
         self.driver.tune(told.settings.pool, told.settings.aggregation)
         self.move_counter(told)
         return None
@@ -392,9 +392,9 @@
             self.driver.counter = self.make_counter(told)
             self.loop.call_later(told.settings.counter_timeout, before.close)
         elif isinstance(before, Counter):
-            before.move(told.counter)
+            before.set_address(told.counter)
         else:
-            cast("AggregatorRouter", before).move(told.aggregators)
+            cast("AggregatorRouter", before).set_directory(told.aggregators)
 
     async def stop(self, still_coming: float = STILL_COMING, all_answered: float | None = None) -> None:
         """Takes what still comes, answers all of it, and leaves nothing behind."""
@@ -422,7 +422,7 @@
         self.front.close()
         if self.following is not None:
             self.following.cancel()
-            self.discovery.drop()
+            self.discovery.disconnect()
         self.driver.report()
         self.driver.reporter.cancel()
         self.dialer.close()
--- a/embersill/aggregator/resp.py
+++ b/embersill/aggregator/resp.py
@@ -9,7 +9,7 @@
 
 from embersill.aggregator.messages import Busy, ForwardResult, ForwardStatus, Total, Unknown
 from embersill.interface import Outcome
-from embersill.net.counter import TOTAL, read_reply
+from embersill.net.counter import TOTAL_PATTERN, read_reply
 
 LONGEST_NAME = 64  # bytes
 MOST_AMOUNT = 1e9
@@ -53,7 +53,7 @@
 
 
 def read_amount(text: bytes) -> float:
-    if not TOTAL.fullmatch(text) or not abs(amount := float(text)) <= MOST_AMOUNT:
+    if not TOTAL_PATTERN.fullmatch(text) or not abs(amount := float(text)) <= MOST_AMOUNT:
         raise CallError("an amount is a decimal number of at most 1e9")
     return amount
 
--- a/embersill/lab/node.py
+++ b/embersill/lab/node.py
@@ -19,7 +19,7 @@
 from embersill.lab.network import Way
 from embersill.lab.rules import Rules
 from embersill.lab.scenario import Class, PlanForm
-from embersill.net.pool import Address, Failure, Link, Pool, State, Waiter
+from embersill.net.pool import Address, OpenFailure, PooledConnection, Pool, ConnectionState, Waiter
 
 SWEEP_EVERY = 1.0  # seconds between the pool's looks for idle connections, as in net/backends.py
 NOWHERE: Address = ("", 0)  # the model knows a backend by its name
@@ -77,7 +77,7 @@
         self.node.attempt_ended(self, outcome)
 
 
-class Wire(Link):
+class Wire(PooledConnection):
     """A connection to a machine."""
 
     def __init__(self, node: Node, machine: Machine) -> None:
@@ -91,22 +91,22 @@
         self.timer = node.clock.later(node.dial_timeout, self.stay_silent)
 
     def come_up(self) -> None:
-        if self.state is not State.OPENING or not self.node.way.passes(self.machine.zone):
+        if self.state is not ConnectionState.OPENING or not self.node.way.passes(self.machine.zone):
             return
         self.timer.cancel()
         if self.machine.connect():
             self.up = True
-            self.node.pool.came_up(self)
+            self.node.pool.opening_succeeded(self)
         else:
-            self.node.pool.failed(self, Failure.REFUSED)
-            self.node.pool.ended(self)
+            self.node.pool.opening_failed(self, OpenFailure.REFUSED)
+            self.node.pool.connection_closed(self)
 
     def stay_silent(self) -> None:
-        if self.state is State.OPENING:
-            self.node.pool.failed(self, Failure.SILENT)
-            self.node.pool.ended(self)
+        if self.state is ConnectionState.OPENING:
+            self.node.pool.opening_failed(self, OpenFailure.TIMED_OUT)
+            self.node.pool.connection_closed(self)
 
-    def carry(self, attempt: Waiter, wait: float) -> None:
+    def send(self, attempt: Waiter, wait: float) -> None:
         assert isinstance(attempt, Attempt)
         self.attempt, attempt.link = attempt, self
         work = self.node.work(attempt.number) + (self.machine.form.handshake_s if self.first else 0.0)
@@ -126,8 +126,8 @@
         if attempt is None or self.job is not job or not self.up:
             return
         self.attempt = self.job = attempt.link = None
-        self.node.pool.answered(self)
-        self.node.pool.put_back(self)
+        self.node.pool.answer_received(self)
+        self.node.pool.release(self)
         attempt.end(Outcome.SERVED if served else Outcome.REJECTED)
 
     def give_up(self, attempt: Attempt) -> None:
@@ -135,7 +135,7 @@
             self.attempt = None
             if self.job is not None:
                 self.machine.give_up(self.job)
-            self.shut()
+            self.abort()
 
     def reset(self) -> None:
         """It breaks: the machine's process is gone, or something between."""
@@ -143,25 +143,25 @@
             self.up = False
             self.leave()
             attempt, self.attempt = self.attempt, None
-            self.node.pool.ended(self)
+            self.node.pool.connection_closed(self)
             if attempt is not None:
                 attempt.link = None
-                self.node.pool.broke(self, attempt.sent_at)
+                self.node.pool.connection_broke(self, attempt.sent_at)
                 attempt.end(Outcome.CONNECTION_LOST)
 
-    def shut(self) -> None:
+    def abort(self) -> None:
         self.dialled.cancel()
         self.timer.cancel()
         if self.up:
             self.up = False
             self.leave()
-        self.node.clock.later(0.0, lambda: self.node.pool.ended(self))
+        self.node.clock.later(0.0, lambda: self.node.pool.connection_closed(self))
 
     def leave(self) -> None:
         if self.machine.condition is not Condition.DOWN:
             self.machine.connections -= 1
 
-    def is_fit(self) -> bool:
+    def is_reusable(self) -> bool:
         return self.up
 
 
@@ -178,7 +178,7 @@
         self.skew = skew
         self.gateway = Gateway(settings, seed, clock.now + skew)
         self.pool = Pool(lambda: clock.now, self.open, most, keepalive, settings.pool, seed)
-        self.pool.open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
+        self.pool.on_open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
         self.calls: dict[int, Call] = {}
         self.taken = self.wired = 0
         self.events: list[Event] = []
@@ -186,16 +186,16 @@
         self.ends: Tally[str] = Tally()
         self.sweep()
 
-    def open(self, backend: str, address: Address) -> Link:
+    def open(self, backend: str, address: Address) -> PooledConnection:
         return Wire(self, self.machines[backend])
 
     def wires(self) -> list[Wire]:
         """Its connections in the order of their opening: a set's own order differs from run to run."""
-        return sorted((k for k in self.pool.links if isinstance(k, Wire)), key=lambda wire: wire.serial)
+        return sorted((k for k in self.pool.connections if isinstance(k, Wire)), key=lambda wire: wire.serial)
 
     def sweep(self) -> None:
         if self.alive:
-            self.pool.sweep()
+            self.pool.close_expired()
             self.clock.later(SWEEP_EVERY, self.sweep)
 
     # what happens
@@ -300,9 +300,9 @@
         elif isinstance(action, SetPoolSize):
             self.pool.set_size(action.backend, action.max_idle, action.max_connections, action.max_idle_time)
         elif isinstance(action, Preconnect):
-            self.pool.warm(action.backend, action.free_connections)
+            self.pool.preconnect(action.backend, action.free_connections)
         elif isinstance(action, CloseUnusedConnections):
-            self.pool.hang_up(action.backend)
+            self.pool.close_unused(action.backend)
 
     def send(self, action: Send) -> None:
         call = self.calls.get(action.request)
@@ -349,5 +349,5 @@
             if link.job is not None:
                 link.machine.give_up(link.job)
             link.attempt = None
-            link.shut()
+            link.abort()
         return calls
--- a/embersill/lab/scale/bounds.py
+++ b/embersill/lab/scale/bounds.py
@@ -12,7 +12,7 @@
 from embersill.lab.scale.list_service import MACHINE, STARTED_MS
 from embersill.lab.scale.records import FleetSize, Play
 from embersill.lab.scale.resp import LONGEST_LIFE_SECONDS, MOST_NAME_BYTES
-from embersill.net.discovery import WATCH_MS, WATCH_PART
+from embersill.net.discovery import MAX_WATCH_MS, MIN_WATCH_SHARE
 
 CALLS_PER_CUSTOMER = 2.0  # counter calls a second for one customer at one gateway: its demand is added once a
 # second, and a second without demand is read once
@@ -86,7 +86,7 @@
 def list_calls(play: Play) -> float:
     """Each change ends a watch, and so does the shortest wait; a restart makes one more call."""
     size, edge = play.size, 1.0 / play.seconds
-    shortest = WATCH_PART * WATCH_MS / 1000.0
+    shortest = MIN_WATCH_SHARE * MAX_WATCH_MS / 1000.0
     restarts = 2.0 * edge if size.restarted_share > 0 else 0.0
     return size.changes_per_second + 1.0 / shortest + edge + restarts
 
--- a/embersill/lab/scale/hollow.py
+++ b/embersill/lab/scale/hollow.py
@@ -115,7 +115,7 @@
 
     async def deliver(self, listing: Listing) -> None:
         """Tells the gateway."""
-        self.feed.told(listing)
+        self.feed.on_list(listing)
 
     async def call(self) -> Listing:
         self.asked()
@@ -189,7 +189,7 @@
         self.closed = True
         if self.following is not None:
             self.following.cancel()
-        self.discovery.drop()
+        self.discovery.disconnect()
         if self.counter is not None:
             self.counter.close()
 
@@ -220,8 +220,8 @@
         began = time.thread_time()
         self.post(BackendList(listing.kind, tuple(entry.backend for entry in listing.entries)))
         seconds = time.thread_time() - began
-        if listing.whole or listing.entries:
-            tally = self.process.whole_lists if listing.whole else self.process.changes
+        if listing.is_full or listing.entries:
+            tally = self.process.whole_lists if listing.is_full else self.process.changes
             tally.number += 1
             tally.bytes += self.process.parse_timer.last.bytes
             tally.seconds += seconds + self.process.parse_timer.last.seconds
--- a/embersill/lab/scale/metered_router.py
+++ b/embersill/lab/scale/metered_router.py
@@ -50,8 +50,8 @@
         self.failover = Failover(aggregator, list(self.members.values()))
         self.note_members()
 
-    def members_told(self, listing: Listing) -> None:
-        super().members_told(listing)
+    def update_members(self, listing: Listing) -> None:
+        super().update_members(listing)
         self.note_members()
 
     def note_members(self) -> None:
@@ -59,10 +59,10 @@
         if failover is not None and not failover.left_at and failover.aggregator not in self.members:
             failover.left_at = time.monotonic()
 
-    def answered(self, counter: Counter, counted: CounterCallEnded) -> None:
+    def member_answered(self, counter: Counter, counted: CounterCallEnded) -> None:
         failover = self.failover
         if failover is not None and failover.left_at and not failover.answered_at:
             customer = counted.name.rpartition(".")[0].encode()
             if counted.outcome is Outcome.SERVED and failover.had(customer):
                 failover.answered_at = time.monotonic()
-        super().answered(counter, counted)
+        super().member_answered(counter, counted)
--- a/embersill/net/aggregation.py
+++ b/embersill/net/aggregation.py
@@ -18,10 +18,10 @@
 
 from embersill.interface import CounterCallEnded, Outcome, BackendStatus
 from embersill.net.counter import Counter
-from embersill.net.discovery import LEAST_LIST, Discovery
+from embersill.net.discovery import MIN_LIST_BYTES, Discovery
 from embersill.net.listing import Address, Entry, Listing
 
-LINES_EACH = 1  # connections to a member: the customers are spread over the members already
+CONNECTIONS_PER_MEMBER = 1  # connections to a member: the customers are spread over the members already
 LIST_CONNECTIONS = 1  # to the list service
 WEIGHT_BYTES = 8  # of the hash that orders the members: a tie in 2 ** 64
 
@@ -35,7 +35,7 @@
         self.name, self.address = name, address
         self.hash = hashlib.blake2b(name.encode() + b"\0", digest_size=WEIGHT_BYTES)
         self.counter: Counter | None = None
-        self.used = 0.0  # when the last call went there
+        self.last_used_at = 0.0  # when the last call went there
 
     def weight(self, customer: bytes) -> bytes:
         """The member's random weight for a customer: the same at every gateway."""
@@ -44,12 +44,12 @@
         return weight.digest()
 
 
-class PlacedCall:
+class RoutedCall:
     """A call that is out, or whose end waits until the calls before it for the same name have theirs."""
 
     def __init__(self, counter: Counter | None) -> None:
         self.counter = counter
-        self.end: CounterCallEnded | None = None
+        self.result: CounterCallEnded | None = None
 
 
 class AggregatorRouter:
@@ -63,45 +63,45 @@
         told: Callable[[CounterCallEnded], None], connections: int, seed: int = 0, gateways: int = 1,
     ) -> None:
         """`connections`: the most that may be open at once, the one to the list service included."""
-        self.clock, self.patience, self.dial_timeout, self.told = clock, patience, dial_timeout, told
-        self.most_open = max(1, connections - LIST_CONNECTIONS)
+        self.clock, self.timeout, self.dial_timeout, self.on_result = clock, patience, dial_timeout, told
+        self.max_member_connections = max(1, connections - LIST_CONNECTIONS)
         self.loop = asyncio.get_running_loop()
         self.members: dict[str, Member] = {}
-        self.calls: dict[str, deque[PlacedCall]] = {}  # that `told` has not heard of, by name
-        self.leaving: set[Counter] = set()  # of members that left: they only wait for their answers
+        self.unreported_calls: dict[str, deque[RoutedCall]] = {}  # that `told` has not heard of, by name
+        self.former_counters: set[Counter] = set()  # of members that left: they only wait for their answers
         self.discovery = Discovery(
-            directory, dial_timeout, self.members_told, seed=seed, gateways=gateways)
-        self.discovery.most_list = LEAST_LIST
-        self.following = self.loop.create_task(self.discovery.run())
+            directory, dial_timeout, self.update_members, seed=seed, gateways=gateways)
+        self.discovery.max_list_bytes = MIN_LIST_BYTES
+        self.list_task = self.loop.create_task(self.discovery.run())
 
     def add(self, name: str, amount: float, forget_after: float) -> None:
         """Makes a call at the member of the name's customer."""
         member = self.member_of(name.rpartition(".")[0])
         counter = None if member is None else self.counter_of(member)
-        call = PlacedCall(counter)
-        self.calls.setdefault(name, deque()).append(call)
+        call = RoutedCall(counter)
+        self.unreported_calls.setdefault(name, deque()).append(call)
         if counter is None:
-            self.end(call, CounterCallEnded(name, Outcome.NO_CONNECTION, 0.0, 0.0))
+            self.report_in_order(call, CounterCallEnded(name, Outcome.NO_CONNECTION, 0.0, 0.0))
         else:
             counter.add(name, amount, forget_after)
 
-    def answered(self, counter: Counter, counted: CounterCallEnded) -> None:
+    def member_answered(self, counter: Counter, counted: CounterCallEnded) -> None:
         """A member's connection told of the first call for this name that is out there."""
-        for call in self.calls.get(counted.name, ()):
-            if call.counter is counter and call.end is None:
-                return self.end(call, counted)
+        for call in self.unreported_calls.get(counted.name, ()):
+            if call.counter is counter and call.result is None:
+                return self.report_in_order(call, counted)
         return None
 
-    def end(self, call: PlacedCall, counted: CounterCallEnded) -> None:
+    def report_in_order(self, call: RoutedCall, counted: CounterCallEnded) -> None:
         """Tells of a call, and of those behind it that have ended; not before those ahead of it."""
-        call.end = counted
-        calls = self.calls[counted.name]
-        while calls and calls[0].end is not None:
-            ended = calls.popleft().end
+        call.result = counted
+        calls = self.unreported_calls[counted.name]
+        while calls and calls[0].result is not None:
+            ended = calls.popleft().result
             if not calls:
-                self.calls.pop(counted.name, None)
+                self.unreported_calls.pop(counted.name, None)
             assert ended is not None
-            self.told(ended)
+            self.on_result(ended)
 
     def member_of(self, customer: str) -> Member | None:
         """The serving member with the highest weight for a customer."""
@@ -112,44 +112,44 @@
 
     def counter_of(self, member: Member) -> Counter | None:
         """The member's connection, opened now if need be; None where no more may be open."""
-        if member.counter is None and self.has_room():
+        if member.counter is None and self.make_room():
             member.counter = self.connect(member.address)
-        member.used = self.clock()
+        member.last_used_at = self.clock()
         return member.counter
 
     def connect(self, address: Address) -> Counter:
         counter = Counter(
-            self.clock, address, self.patience, self.dial_timeout,
-            lambda counted: self.answered(counter, counted), LINES_EACH)
+            self.clock, address, self.timeout, self.dial_timeout,
+            lambda counted: self.member_answered(counter, counted), CONNECTIONS_PER_MEMBER)
         return counter
 
-    def has_room(self) -> bool:
+    def make_room(self) -> bool:
         """Whether one more connection may be opened; the one longest unused makes way for it."""
         open_members = [member for member in self.members.values() if member.counter is not None]
-        if len(open_members) + len(self.leaving) < self.most_open:
+        if len(open_members) + len(self.former_counters) < self.max_member_connections:
             return True
-        idle_before = self.clock() - self.patience  # calls made by then have been answered or given up
-        idle = [member for member in open_members if member.used < idle_before]
+        idle_before = self.clock() - self.timeout  # calls made by then have been answered or given up
+        idle = [member for member in open_members if member.last_used_at < idle_before]
         if not idle:
             return False
-        unused = min(idle, key=lambda member: member.used)
+        unused = min(idle, key=lambda member: member.last_used_at)
         assert unused.counter is not None
         unused.counter.close()
         unused.counter = None
         return True
 
-    def members_told(self, listing: Listing) -> None:
+    def update_members(self, listing: Listing) -> None:
         """Takes in the list of members, or what has changed of it."""
         told = {entry.backend.address: entry for entry in listing.entries}
         for name, member in list(self.members.items()):
-            if name in told or listing.whole:
-                self.keep_or_drop(member, told.get(name))
+            if name in told or listing.is_full:
+                self.remove_if_changed(member, told.get(name))
         for name, entry in told.items():
             if entry.backend.status is BackendStatus.SERVING and name not in self.members:
                 self.members[name] = Member(name, entry.address)
                 log.info("aggregator %s serves; there are %d", name, len(self.members))
 
-    def keep_or_drop(self, member: Member, entry: Entry | None) -> None:
+    def remove_if_changed(self, member: Member, entry: Entry | None) -> None:
         """A member that no longer serves, or has moved, gets no further call."""
         serves = entry is not None and entry.backend.status is BackendStatus.SERVING
         if serves and entry is not None and entry.address == member.address:
@@ -157,24 +157,24 @@
         del self.members[member.name]
         log.info("aggregator %s serves no more; there are %d", member.name, len(self.members))
         if member.counter is not None:
-            self.leaving.add(member.counter)
-            self.loop.call_later(self.patience, self.left, member.counter)
+            self.former_counters.add(member.counter)
+            self.loop.call_later(self.timeout, self.close_former, member.counter)
 
-    def left(self, counter: Counter) -> None:
+    def close_former(self, counter: Counter) -> None:
         """The last calls at a member that left have been answered or given up."""
-        self.leaving.discard(counter)
+        self.former_counters.discard(counter)
         counter.close()
 
-    def move(self, directory: Sequence[Address]) -> None:
+    def set_directory(self, directory: Sequence[Address]) -> None:
         """Follows the members in another list service from now on."""
-        self.discovery.move(directory)
+        self.discovery.set_addresses(directory)
 
     def close(self) -> None:
         """Ends the connections and stops following the list."""
-        self.following.cancel()
-        self.discovery.drop()
+        self.list_task.cancel()
+        self.discovery.disconnect()
         for member in self.members.values():
             if member.counter is not None:
                 member.counter.close()
-        for counter in self.leaving:
+        for counter in self.former_counters:
             counter.close()
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -19,26 +19,26 @@
 from embersill.interface import Outcome, PoolSettings
 from embersill.net.bodies import READ, WHOLE, Sink, Upload, is_readable
 from embersill.net.framing import AnswerFeeder, BadFraming, FramingFields
-from embersill.net.pool import Address, Failure, Link, Pool, Waiter
+from embersill.net.pool import Address, OpenFailure, PooledConnection, Pool, Waiter
 
-PASS_AFTER = 0.2  # seconds from which an answer of unknown length goes on, though it may turn out a short one
-STALLED = 10.0  # seconds without a byte, of an answer that goes on or to a backend that is to take a body
-MOST_HEAD = 16 * 1024  # bytes of its heads, interim answers' included: real ones take some hundred
-REST = 0.01  # seconds after an answer until its connection carries the next attempt: a second answer may come
+STREAM_AFTER = 0.2  # seconds from which an answer of unknown length goes on, though it may turn out a short one
+STALL_TIMEOUT = 10.0  # seconds without a byte, of an answer that goes on or to a backend that is to take a body
+MAX_HEAD_BYTES = 16 * 1024  # bytes of its heads, interim answers' included: real ones take some hundred
+REUSE_DELAY = 0.01  # seconds after an answer until its connection carries the next attempt: a second answer may come
 # some milliseconds late, and would pass for the next attempt's
-SWEEP_EVERY = 1.0  # seconds between looks for idle connections
-UNITS = re.compile(rb"\+?(\d{1,30}\.?\d{0,30}|\.\d{1,30})([eE][+-]?\d{1,3})?")
-MOST_UNITS = 1e6  # that an answer may bill
+IDLE_SCAN_INTERVAL = 1.0  # seconds between looks for idle connections
+UNITS_PATTERN = re.compile(rb"\+?(\d{1,30}\.?\d{0,30}|\.\d{1,30})([eE][+-]?\d{1,3})?")
+MAX_BILLED_UNITS = 1e6  # that an answer may bill
 # what a connection fails with where the lack is here and not at the backend
-LOCAL = frozenset((
+LOCAL_ERRORS = frozenset((
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
     errno.ENETDOWN))
-MOMENTARY = LOCAL - {errno.EMFILE}  # of these, what may pass by itself: for EMFILE a descriptor has to go
-DIAL_AGAIN = (0.01, 0.02, 0.04)  # seconds until it is tried again after such a failure
+TRANSIENT_ERRORS = LOCAL_ERRORS - {errno.EMFILE}  # of these, what may pass by itself: for EMFILE a descriptor has to go
+DIAL_RETRY_DELAYS = (0.01, 0.02, 0.04)  # seconds until it is tried again after such a failure
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AttemptResult:
     """How an attempt ended, with the backend's answer if there was a whole one."""
 
     outcome: Outcome
@@ -47,30 +47,30 @@
     headers: bytes = b""  # header lines that tell how to read the body
 
 
-Passing = Callable[["Attempt", bytes, int | None], Sink | None]
+StreamOpener = Callable[["Attempt", bytes, int | None], Sink | None]
 
 
 class Attempt:
     """One attempt: what to write, where to, and what became of it. `done` is called exactly once."""
 
     __slots__ = (
-        "backend", "body", "connection", "done", "ended", "head", "is_abandoned", "passing", "patience",
+        "backend", "body", "connection", "on_done", "ended", "head", "is_abandoned", "open_stream", "timeout",
         "pool", "sent_at", "timer", "until", "upload", "was_written", "write_by",
     )
 
     def __init__(
         self, backend: str, head: bytes, body: bytes, sent_at: float, until: float,
-        done: Callable[[Attempt, Answer], None], passing: Passing, upload: Upload | None = None,
+        done: Callable[[Attempt, AttemptResult], None], passing: StreamOpener, upload: Upload | None = None,
         write_by: float = inf, is_abandoned: Callable[[], bool] = lambda: False,
     ) -> None:
         # is_abandoned: asked right before it is written, true where its client has gone meanwhile
         self.is_abandoned = is_abandoned
         # passing: asked where an answer goes that is passed on as it comes, with its headers and length
-        self.passing, self.upload = passing, upload
-        self.patience = until - sent_at  # from the last byte of a body that is passed on
+        self.open_stream, self.upload = passing, upload
+        self.timeout = until - sent_at  # from the last byte of a body that is passed on
         self.write_by = write_by  # it is written whole by then, or ends
         self.backend, self.head, self.body = backend, head, body
-        self.sent_at, self.until, self.done = sent_at, until, done
+        self.sent_at, self.until, self.on_done = sent_at, until, done
         self.connection: BackendConnection | None = None
         self.pool: Pool | None = None  # where it waits for a connection
         self.timer: asyncio.TimerHandle | None = None
@@ -78,11 +78,11 @@
         self.was_written = False  # some of it was handed to a connection, for logs
 
     @property
-    def written(self) -> bool:
+    def was_assigned(self) -> bool:
         """True once any of it was handed to a connection: from then on it may run."""
         return self.connection is not None
 
-    def end(self, answer: Answer) -> None:
+    def end(self, answer: AttemptResult) -> None:
         """The first end counts; one that waits leaves its line, and a connection still in use is given up."""
         if self.ended:
             return
@@ -94,53 +94,53 @@
         if self.upload is not None:
             self.upload.wake = None
         if self.connection is not None:
-            self.connection.give_up(self)
-        self.done(self, answer)
+            self.connection.abandon(self)
+        self.on_done(self, answer)
 
     def lost(self, outcome: Outcome) -> None:
         """There is no connection for it."""
-        self.end(Answer(outcome))
+        self.end(AttemptResult(outcome))
 
     def time_out(self) -> None:
         # one that still waits for its connection was never written, so it is known not to have run
         connection, pool = self.connection, self.pool
-        if connection is not None and not connection.counted:
-            self.end(Answer(Outcome.NO_CONNECTION))  # nor one of which the kernel has not taken all
+        if connection is not None and not connection.fully_written:
+            self.end(AttemptResult(Outcome.NO_CONNECTION))  # nor one of which the kernel has not taken all
         elif connection is not None:
-            self.end(Answer(Outcome.TIMED_OUT))
+            self.end(AttemptResult(Outcome.TIMED_OUT))
             # a machine that is cut off leaves its kept connections open and silent: what is written to them
             # may have run, while an open that does not come up is known not to have
             connection.pool.drop_idle(self.backend)
         else:
-            self.end(Answer(pool.why_waiting(self) if pool is not None else Outcome.NOT_SENT))
+            self.end(AttemptResult(pool.why_waiting(self) if pool is not None else Outcome.NOT_SENT))
 
 
-class BackendConnection(asyncio.BufferedProtocol, Link):
+class BackendConnection(asyncio.BufferedProtocol, PooledConnection):
     """A kept-alive connection that carries one attempt at a time."""
 
     def __init__(self, dialer: Dialer, pool: Pool, backend: str) -> None:
-        Link.__init__(self, backend)
+        PooledConnection.__init__(self, backend)
         self.dialer, self.pool = dialer, pool
-        self.dial: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
-        self.unsent = False  # the kernel has not yet taken all of the request
-        self.counted = False  # the request was written whole
-        self.moved_at = 0.0  # when bytes last came or were taken
+        self.write_pending = False  # the kernel has not yet taken all of the request
+        self.fully_written = False  # the request was written whole
+        self.last_progress_at = 0.0  # when bytes last came or were taken
         self.parser = httptools.HttpResponseParser(self)
         self.feeder = AnswerFeeder(self.parser.feed_data)
-        self.start_answer()
+        self.reset_answer()
 
-    def start_answer(self) -> None:
+    def reset_answer(self) -> None:
         self.parts: list[bytes] = []
         self.size, self.units, self.headers, self.status = 0, 0.0, b"", 0
         self.in_head, self.head_size, self.trailers = True, 0, 0
         self.feeder.start()
         self.fields = FramingFields()
         self.length: int | None = None  # of the answer's body, where its head tells
-        self.to_the_end = self.unwanted = self.paused = self.badly_framed = False
+        self.ends_at_close = self.body_unwanted = self.paused = self.invalid_framing = False
         self.sink: Sink | None = None  # where the answer goes on to while it comes
-        self.rejected = self.complete = self.keep = self.surplus = self.garbled = False
+        self.rejected = self.complete = self.keep_alive = self.has_surplus = self.malformed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
@@ -148,79 +148,79 @@
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        self.unsent = True
+        self.write_pending = True
 
     def resume_writing(self) -> None:
-        self.unsent = False
-        self.moved_at = self.pool.clock()
+        self.write_pending = False
+        self.last_progress_at = self.pool.clock()
         if self.attempt is not None:
-            self.pump()
+            self.write_body()
 
-    def pump(self) -> None:
+    def write_body(self) -> None:
         """Writes on what has come of the body, as far as the backend takes it; the rest waits."""
         attempt = self.attempt
-        if attempt is None or self.transport is None or self.counted:
+        if attempt is None or self.transport is None or self.fully_written:
             return
         upload = attempt.upload
         if upload is not None:
-            while not (self.unsent or upload.done):
+            while not (self.write_pending or upload.done):
                 piece = upload.take()
                 if not piece:
                     break
-                self.moved_at = self.pool.clock()
+                self.last_progress_at = self.pool.clock()
                 self.transport.write(piece)
             upload.room()
-        if not self.unsent and (upload is None or upload.done):
-            self.counted = True
-            self.dialer.written += 1
+        if not self.write_pending and (upload is None or upload.done):
+            self.fully_written = True
+            self.dialer.attempts_written += 1
             if upload is not None:
                 attempt.sent_at = self.pool.clock()
-                attempt.until = attempt.sent_at + attempt.patience
+                attempt.until = attempt.sent_at + attempt.timeout
             if upload is not None or attempt.write_by < attempt.until:
                 self.dialer.set_timer(attempt, attempt.until)
 
-    def carry(self, attempt: Waiter, wait: float) -> None:
+    def send(self, attempt: Waiter, wait: float) -> None:
         assert self.transport is not None and isinstance(attempt, Attempt)
         attempt.pool = None
         # after a hold-up, what comes first may be neither its timer nor its client's end
         last = attempt.write_by if attempt.upload is not None else min(attempt.write_by, attempt.until)
         if self.pool.clock() >= last or attempt.is_abandoned():
-            self.pool.put_back(self)
-            return attempt.end(Answer(Outcome.NOT_SENT))
+            self.pool.release(self)
+            return attempt.end(AttemptResult(Outcome.NOT_SENT))
         self.attempt, attempt.connection, attempt.was_written = attempt, self, True
-        self.start_answer()
-        self.counted, self.moved_at = False, self.pool.clock()
+        self.reset_answer()
+        self.fully_written, self.last_progress_at = False, self.pool.clock()
         self.transport.write(b"%bX-Budget: %.3f\r\n\r\n%b" % (attempt.head, wait, attempt.body))
         if attempt.upload is not None:
-            attempt.upload.wake = self.pump
-        self.pump()
+            attempt.upload.wake = self.write_body
+        self.write_body()
 
-    def look(self, now: float) -> None:
+    def check_progress(self, now: float) -> None:
         """Ends what no longer moves: half of an answer, or half of a body that the backend does not take."""
         attempt = self.attempt
-        if attempt is None or self.paused or now - self.moved_at <= STALLED:
+        if attempt is None or self.paused or now - self.last_progress_at <= STALL_TIMEOUT:
             return
         if self.sink is not None:
-            attempt.end(Answer(Outcome.CONNECTION_LOST))
-        elif self.unsent and attempt.upload is not None:
-            attempt.end(Answer(Outcome.NO_CONNECTION))
+            attempt.end(AttemptResult(Outcome.CONNECTION_LOST))
+        elif self.write_pending and attempt.upload is not None:
+            attempt.end(AttemptResult(Outcome.NO_CONNECTION))
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abandon(self, attempt: Attempt) -> None:
         """Closing is how a backend is told that nobody waits for the attempt any more."""
         if self.attempt is attempt:
             self.attempt = None
-            self.shut()
+            self.abort()
 
-    def shut(self) -> None:
-        if self.dial is not None:
-            self.dial.cancel()
+    def abort(self) -> None:
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         elif self.transport is not None:
             self.transport.abort()
 
     def is_up(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def is_fit(self) -> bool:
+    def is_reusable(self) -> bool:
         # unread may be an end, or bytes that would pass for the next attempt's answer
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -230,7 +230,7 @@
     # what the parser tells
 
     def on_message_begin(self) -> None:
-        self.surplus = self.surplus or self.complete
+        self.has_surplus = self.has_surplus or self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.complete:
@@ -260,15 +260,15 @@
         try:
             framing = self.fields.read()
         except BadFraming:
-            self.badly_framed = True
+            self.invalid_framing = True
             return
         self.length = framing.length
-        self.to_the_end = self.length is None and not framing.chunked and self.status not in (204, 304)
+        self.ends_at_close = self.length is None and not framing.chunked and self.status not in (204, 304)
         # of an answer that is no service nobody needs a long body
-        self.unwanted = self.status != 200 and (self.length or 0) > WHOLE
+        self.body_unwanted = self.status != 200 and (self.length or 0) > WHOLE
 
     def on_body(self, body: bytes) -> None:
-        if self.complete or self.badly_framed:
+        if self.complete or self.invalid_framing:
             return
         self.size += len(body)
         if self.sink is not None:
@@ -276,47 +276,47 @@
             return
         if self.length is None and not self.parts and self.attempt is not None:
             if self.status == 200:
-                self.dialer.loop.call_later(PASS_AFTER, self.pass_late, self.attempt)
+                self.dialer.loop.call_later(STREAM_AFTER, self.stream_late_answer, self.attempt)
         self.parts.append(body)
         if self.size > WHOLE or (self.length or 0) > WHOLE:
-            self.unwanted = self.unwanted or self.status != 200
-            self.pass_on()
+            self.body_unwanted = self.body_unwanted or self.status != 200
+            self.start_streaming()
 
-    def pass_late(self, attempt: Attempt) -> None:
+    def stream_late_answer(self, attempt: Attempt) -> None:
         if self.attempt is attempt and self.sink is None and not self.complete:
-            self.pass_on()
+            self.start_streaming()
 
-    def pass_on(self) -> None:
+    def start_streaming(self) -> None:
         """From here on the answer goes to the client as it comes, and there is no other attempt."""
         attempt = self.attempt
-        if attempt is None or attempt.ended or self.unwanted:
+        if attempt is None or attempt.ended or self.body_unwanted:
             return
-        sink = attempt.passing(attempt, self.headers, self.length)
+        sink = attempt.open_stream(attempt, self.headers, self.length)
         if sink is None:
-            return attempt.end(Answer(Outcome.CANCELLED))
+            return attempt.end(AttemptResult(Outcome.CANCELLED))
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.sink, sink.room = sink, self.resume
         self.paused = not sink.write(b"".join(self.parts))
         self.parts = []
-        self.pace()
+        self.pause_if_client_full()
 
-    def pace(self) -> None:
+    def pause_if_client_full(self) -> None:
         if self.paused and self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume(self) -> None:
         """The client has room for more."""
         if self.paused and self.transport is not None and not self.transport.is_closing():
-            self.paused, self.moved_at = False, self.pool.clock()
+            self.paused, self.last_progress_at = False, self.pool.clock()
             self.transport.resume_reading()
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
         interim = 100 <= status < 200  # goes before the real answer
-        if not (self.complete or self.badly_framed or interim):
+        if not (self.complete or self.invalid_framing or interim):
             self.complete = True
-            self.keep = self.parser.should_keep_alive()  # the parser knows only while in this call
+            self.keep_alive = self.parser.should_keep_alive()  # the parser knows only while in this call
 
     # what the transport tells
 
@@ -327,73 +327,73 @@
         self.data_received(bytes(self.dialer.buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        attempt, self.moved_at = self.attempt, self.pool.clock()
+        attempt, self.last_progress_at = self.attempt, self.pool.clock()
         if attempt is None:
-            return self.shut()  # nothing was asked
+            return self.abort()  # nothing was asked
         try:
             self.feeder.feed(data, lambda: self.in_head)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.garbled = True
+            self.malformed = True
         self.head_size += len(data) if self.in_head else 0
         if attempt.ended:
             return
         if self.complete:
             self.finish(attempt)
-        elif self.garbled or self.badly_framed or self.head_size > MOST_HEAD or self.trailers > MOST_HEAD:
+        elif self.malformed or self.invalid_framing or self.head_size > MAX_HEAD_BYTES or self.trailers > MAX_HEAD_BYTES:
             # a backend that answers at all may have run the request, however odd the answer is
-            attempt.end(Answer(Outcome.CONNECTION_LOST))
-        elif self.unwanted:
-            attempt.end(Answer(self.outcome()))
+            attempt.end(AttemptResult(Outcome.CONNECTION_LOST))
+        elif self.body_unwanted:
+            attempt.end(AttemptResult(self.failure_outcome()))
         else:
-            self.pace()
+            self.pause_if_client_full()
 
     def finish(self, attempt: Attempt) -> None:
         if self.status == 200:
-            answer = Answer(Outcome.SERVED, b"".join(self.parts), self.units, self.headers)
+            answer = AttemptResult(Outcome.SERVED, b"".join(self.parts), self.units, self.headers)
         else:
-            answer = Answer(self.outcome())
-        self.pool.answered(self)
+            answer = AttemptResult(self.failure_outcome())
+        self.pool.answer_received(self)
         # the connection is free before anybody hears of the answer: the next attempt may want it
-        if self.keep and self.counted and not (self.unsent or self.surplus or self.garbled):
+        if self.keep_alive and self.fully_written and not (self.write_pending or self.has_surplus or self.malformed):
             if self.paused:
                 self.resume()
             self.attempt = attempt.connection = None
-            self.pool.rest(self)
-            self.dialer.loop.call_later(REST, self.rested)
+            self.pool.start_reuse_delay(self)
+            self.dialer.loop.call_later(REUSE_DELAY, self.end_reuse_delay)
         attempt.end(answer)
 
-    def rested(self) -> None:
+    def end_reuse_delay(self) -> None:
         if self.is_up():
-            self.pool.put_back(self)
+            self.pool.release(self)
 
-    def outcome(self) -> Outcome:
+    def failure_outcome(self) -> Outcome:
         """Of an answer that is no service."""
         return Outcome.REJECTED if self.status in (503, 504) and self.rejected else Outcome.ERROR
 
     def eof_received(self) -> bool:
         attempt = self.attempt
-        if attempt is not None and self.to_the_end and not (self.in_head or self.complete or self.garbled):
-            self.complete, self.keep = True, False  # its end is the connection's
+        if attempt is not None and self.ends_at_close and not (self.in_head or self.complete or self.malformed):
+            self.complete, self.keep_alive = True, False  # its end is the connection's
             self.finish(attempt)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         attempt, self.attempt, self.transport = self.attempt, None, None
-        if self.dial is None:
-            self.pool.ended(self)
+        if self.connect_task is None:
+            self.pool.connection_closed(self)
         if attempt is not None:
-            self.pool.broke(self, attempt.sent_at)
+            self.pool.connection_broke(self, attempt.sent_at)
             # an unsent rest proves that the backend never had the whole; a write that went through proves
             # nothing, also not on a kept connection that the backend had closed by then
-            attempt.end(Answer(Outcome.CONNECTION_LOST if self.counted else Outcome.NO_CONNECTION))
+            attempt.end(AttemptResult(Outcome.CONNECTION_LOST if self.fully_written else Outcome.NO_CONNECTION))
 
 
 def read_units(value: bytes) -> float:
     """The units of a Billed-Units field; nought where it holds no decimal number in range."""
-    if not UNITS.fullmatch(value.strip()):  # float() takes more: 1_0
+    if not UNITS_PATTERN.fullmatch(value.strip()):  # float() takes more: 1_0
         return 0.0
     units = float(value)
-    return units if 0.0 < units < MOST_UNITS else 0.0
+    return units if 0.0 < units < MAX_BILLED_UNITS else 0.0
 
 
 class Dialer:
@@ -408,8 +408,8 @@
         self.loop = asyncio.get_running_loop()
         self.pool = Pool(clock, self.open, most, keepalive, settings or PoolSettings(), seed)
         self.buffer = memoryview(bytearray(READ))  # what is read is copied out before anything else is
-        self.written = 0  # attempts that were written whole
-        self.sweeper = self.loop.call_later(SWEEP_EVERY, self.sweep)
+        self.attempts_written = 0  # attempts that were written whole
+        self.scan_timer = self.loop.call_later(IDLE_SCAN_INTERVAL, self.scan)
 
     def start(self, attempt: Attempt) -> None:
         if attempt.upload is None:  # else its time begins with the last byte
@@ -423,51 +423,51 @@
         left = max(end - self.pool.clock(), 0.0)
         attempt.timer = self.loop.call_later(left, attempt.time_out)
 
-    def open(self, backend: str, address: Address) -> Link:
+    def open(self, backend: str, address: Address) -> PooledConnection:
         made = BackendConnection(self, self.pool, backend)
-        made.dial = self.loop.create_task(self.connect(made, address))
+        made.connect_task = self.loop.create_task(self.connect(made, address))
         return made
 
     async def connect(self, made: BackendConnection, address: Address) -> None:
-        failure: Failure | None = None
+        failure: OpenFailure | None = None
         try:
             async with asyncio.timeout(self.dial_timeout):
                 await self.dial(made, address)
         except TimeoutError:
-            failure = Failure.SILENT
+            failure = OpenFailure.TIMED_OUT
         except OSError as error:
-            failure = Failure.LOCAL if error.errno in LOCAL else Failure.REFUSED
+            failure = OpenFailure.LOCAL if error.errno in LOCAL_ERRORS else OpenFailure.REFUSED
         finally:
-            made.dial = None
+            made.connect_task = None
             if failure is None and made.is_up():
-                self.pool.came_up(made)
+                self.pool.opening_succeeded(made)
             else:
-                self.pool.failed(made, failure or Failure.REFUSED)
-                made.shut()
+                self.pool.opening_failed(made, failure or OpenFailure.REFUSED)
+                made.abort()
             if made.transport is None:
-                self.pool.ended(made)
+                self.pool.connection_closed(made)
 
     async def dial(self, made: BackendConnection, address: Address) -> None:
         """Connects, and again after a failure here that may last for a moment only."""
-        for wait in DIAL_AGAIN:
+        for wait in DIAL_RETRY_DELAYS:
             try:
                 await self.loop.create_connection(lambda: made, *address)
                 return
             except OSError as error:
-                if error.errno not in MOMENTARY:
+                if error.errno not in TRANSIENT_ERRORS:
                     raise
                 self.pool.figures["pool open again"] += 1
                 await asyncio.sleep(wait)
         await self.loop.create_connection(lambda: made, *address)
 
-    def sweep(self) -> None:
+    def scan(self) -> None:
         now = self.pool.clock()
-        for link in list(self.pool.links):
+        for link in list(self.pool.connections):
             if isinstance(link, BackendConnection):
-                link.look(now)
-        self.pool.sweep()
-        self.sweeper = self.loop.call_later(SWEEP_EVERY, self.sweep)
+                link.check_progress(now)
+        self.pool.close_expired()
+        self.scan_timer = self.loop.call_later(IDLE_SCAN_INTERVAL, self.scan)
 
     def close(self) -> None:
-        self.sweeper.cancel()
+        self.scan_timer.cancel()
         self.pool.close_all()
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -22,7 +22,7 @@
     Outcome, PoolSettings, Preconnect, PredecessorEnded, PredecessorState, Refuse, Request, Restore, Send,
     SetPoolSize, SetTimer, SettingsChanged, StreamStarted, Suspend, TimerExpired, UploadCompleted,
 )
-from embersill.net.backends import Answer, Attempt, Dialer
+from embersill.net.backends import AttemptResult, Attempt, Dialer
 from embersill.net.bodies import Sink, Upload
 from embersill.net.counter import CounterClient
 from embersill.net.listing import Listing
@@ -98,7 +98,7 @@
 
     def __init__(self, gateway: Gateway, clock: Callable[[], float], dialer: Dialer) -> None:
         self.gateway, self.clock, self.dialer, self.pool = gateway, clock, dialer, dialer.pool
-        self.pool.open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
+        self.pool.on_open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
         self.counter: CounterClient | None = None
         self.loop = asyncio.get_running_loop()
         self.pending: dict[int, Pending] = {}
@@ -125,7 +125,7 @@
         """Traces requests, the list and connections from now on, if there is a trace."""
         self.trace = trace
         if trace is not None:
-            self.pool.closed_for = lambda backend, reason: trace.note(
+            self.pool.on_close = lambda backend, reason: trace.note(
                 "backend_connection_closed", backend=backend, reason=reason)
 
     # what happened
@@ -189,7 +189,7 @@
         serving = {a: entry for a, entry in named.items() if entry.backend.status is BackendStatus.SERVING}
         for address, entry in serving.items():
             self.pool.set_address(address, entry.address, entry.backend.started_at)
-        if listing.whole:
+        if listing.is_full:
             self.serving.clear()
         self.serving.difference_update(named)
         self.serving.update(serving)
@@ -199,8 +199,8 @@
         for address in named:
             if address not in serving:
                 self.pool.retire(address)
-        if listing.whole:
-            self.pool.forget_others(named)
+        if listing.is_full:
+            self.pool.retire_unlisted(named)
 
     def trace_list(self, listing: Listing) -> None:
         if self.trace is None:
@@ -224,7 +224,7 @@
         # the loop counts whole milliseconds and may come early: for the module a timer is never early
         self.post(TimerExpired(key), due)
 
-    def attempt_ended(self, pending: Pending, place: int, attempt: Attempt, answer: Answer) -> None:
+    def attempt_ended(self, pending: Pending, place: int, attempt: Attempt, answer: AttemptResult) -> None:
         pending.out -= 1
         pending.last_outcome = answer.outcome.value
         self.figures.others[f"attempt {answer.outcome.value}"] += 1
@@ -291,7 +291,7 @@
         pending.attempts.append(attempt)
         pending.out += 1
         if pending.over or now >= pending.end:
-            return attempt.end(Answer(Outcome.NOT_SENT))
+            return attempt.end(AttemptResult(Outcome.NOT_SENT))
         return self.dialer.start(attempt)
 
     def is_abandoned(self, pending: Pending) -> bool:
@@ -303,7 +303,7 @@
     def cancel(self, action: Cancel) -> None:
         pending = self.pending.get(action.request)
         if pending is not None and action.attempt < len(pending.attempts):
-            pending.attempts[action.attempt].end(Answer(Outcome.CANCELLED))
+            pending.attempts[action.attempt].end(AttemptResult(Outcome.CANCELLED))
 
     def refuse(self, action: Refuse) -> None:
         advice = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0 else b""
@@ -323,13 +323,13 @@
         return self.counter.add(action.name, action.amount, action.expire_after)
 
     def hang_up(self, action: CloseUnusedConnections) -> None:
-        self.pool.hang_up(action.backend)
+        self.pool.close_unused(action.backend)
 
     def size(self, action: SetPoolSize) -> None:
         self.pool.set_size(action.backend, action.max_idle, action.max_connections, action.max_idle_time)
 
     def warm(self, action: Preconnect) -> None:
-        self.pool.warm(action.backend, action.free_connections)
+        self.pool.preconnect(action.backend, action.free_connections)
 
     # final answers
 
@@ -363,9 +363,9 @@
             pending.sink.break_off()  # what has gone on can't be taken back, but it must not look whole
         for attempt in pending.attempts:
             if pending.sink is not None and not attempt.ended:
-                attempt.end(Answer(Outcome.CANCELLED))
-            if not (attempt.ended or attempt.written):  # it must not be written for a request that is over
-                attempt.end(Answer(Outcome.NOT_SENT))
+                attempt.end(AttemptResult(Outcome.CANCELLED))
+            if not (attempt.ended or attempt.was_assigned):  # it must not be written for a request that is over
+                attempt.end(AttemptResult(Outcome.NOT_SENT))
 
     def forget(self, pending: Pending) -> None:
         if pending.over and not pending.out:
@@ -387,7 +387,7 @@
         if text:
             listed, down = len(self.gateway.servers), self.gateway.down()
             age = f", list {self.list_age():.0f} s old" if self.list_age else ""
-            links, idle = len(self.pool.links), self.pool.idle()
+            links, idle = len(self.pool.connections), self.pool.idle_count()
             log.info("%s; open %d, connections %d, idle %d, listed %d, down %d%s",
                      text, self.unanswered, links, idle, listed, down, age)
         self.gateway.given_up.clear()
@@ -397,9 +397,9 @@
         more = {"list_age_s": round(self.list_age())} if self.list_age else {}
         pool = {name.replace(" ", "_"): number for name, number in sorted(self.pool.figures.items())}
         return self.figures.text(
-            backend_calls=self.dialer.written, inflight=self.unanswered,
+            backend_calls=self.dialer.attempts_written, inflight=self.unanswered,
             hosts_listed=len(self.gateway.servers), hosts_down=self.gateway.down(),
-            pool_connections=len(self.pool.links), pool_idle=self.pool.idle(), **pool, **more)
+            pool_connections=len(self.pool.connections), pool_idle=self.pool.idle_count(), **pool, **more)
 
     def tune(self, pool: PoolSettings, aggregation: AggregationSettings | None = None) -> None:
         """Staff have changed how connections are kept, or how counter calls are bounded."""
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -226,7 +226,7 @@
 
     def limit_to(self, message: Message) -> None:
         """The two share the limits: what the other still holds is not to be had here."""
-        self.front.elsewhere, self.driver.pool.elsewhere = int(message["clients"]), int(message["backends"])
+        self.front.elsewhere, self.driver.pool.held_by_predecessor = int(message["clients"]), int(message["backends"])
 
     # as the predecessor
 
@@ -276,7 +276,7 @@
             return
         self.gave = True
         self.front.pause_accepting()
-        self.driver.pool.keep_none()
+        self.driver.pool.stop_keeping_idle()
         state = {**self.driver.hand_over(), "monotonic": time.monotonic()}
         self.write_state(state)  # an older version reads the file; it may not be written, as on a full disk
         given = {"say": "given", **self.holds(), "lame_duck": self.duck.left()}
@@ -301,7 +301,7 @@
 
     def holds(self) -> Message:
         pool, clients = self.driver.pool, len(self.front.connections)
-        return {"clients": clients, "backends": len(pool.links)}
+        return {"clients": clients, "backends": len(pool.connections)}
 
     def tell_holds(self) -> None:
         if self.gave and self.link is not None:
@@ -312,7 +312,7 @@
         """The successor went before this process was told to stop: it serves on, with what credit is left."""
         log.warning("the successor is gone: this process serves on")
         self.gave, self.front.successor, self.successor = False, None, ""
-        self.driver.pool.keeping = True
+        self.driver.pool.keeps_idle = True
         self.driver.take_back()
         self.front.resume_accepting()
         self.front.stay()
@@ -388,7 +388,7 @@
             return self.take_back()
         if not self.given.done():
             self.given.set_result(False)
-        self.front.elsewhere = self.driver.pool.elsewhere = 0
+        self.front.elsewhere = self.driver.pool.held_by_predecessor = 0
         self.driver.alone()
 
     def write_state(self, state: Message) -> None:
--- a/embersill/net/list_feed.py
+++ b/embersill/net/list_feed.py
@@ -15,13 +15,13 @@
 from typing import TYPE_CHECKING, Any
 
 from embersill.interface import ListKind, BackendStatus
-from embersill.net.listing import BadList, Entry, Listing, parse_listing, read_entry
+from embersill.net.listing import InvalidList, Entry, Listing, parse_listing, read_entry
 
 if TYPE_CHECKING:
     import msgspec
 
-SLICE = 100  # entries between two turns of the loop: under a millisecond of a core
-SLICED_FROM = 64 * 1024  # bytes of an answer from which it is read in slices: some 350 backends
+SLICE_ENTRIES = 100  # entries between two turns of the loop: under a millisecond of a core
+SLICED_FROM_BYTES = 64 * 1024  # bytes of an answer from which it is read in slices: some 350 backends
 
 
 @lru_cache(maxsize=1)
@@ -38,11 +38,11 @@
     """Reads lists; of long ones it keeps the entries by their texts, as most come again unchanged."""
 
     def __init__(self) -> None:
-        self.entries: dict[bytes, Entry] = {}
+        self.entries_by_text: dict[bytes, Entry] = {}
 
     async def read(self, body: bytes) -> Listing:
         """What discovery answered; BadList says what is wrong with it."""
-        if len(body) < SLICED_FROM:
+        if len(body) < SLICED_FROM_BYTES:
             return parse_listing(body)
         import msgspec
 
@@ -54,20 +54,20 @@
             generation, whole = int(json.loads(bytes(text.generation))), bool(json.loads(bytes(text.reset)))
             entries = [entry async for entry in self.read_entries(text.instances)]
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
-            raise BadList(f"{type(error).__name__}: {error}") from error
+            raise InvalidList(f"{type(error).__name__}: {error}") from error
         return Listing(ListKind.FULL if whole else ListKind.CHANGES, generation, tuple(entries))
 
     async def read_entries(self, texts: list[Any]) -> AsyncIterator[Entry]:
         import msgspec
 
         decode = msgspec.json.Decoder().decode
-        before, self.entries = self.entries, {}
+        before, self.entries_by_text = self.entries_by_text, {}
         for number, text in enumerate(texts, 1):
             key = bytes(text)
             entry = before.get(key) or read_entry(decode(key))
-            self.entries[key] = entry
+            self.entries_by_text[key] = entry
             yield entry
-            if number % SLICE == 0:
+            if number % SLICE_ENTRIES == 0:
                 await asyncio.sleep(0)
 
 
@@ -75,36 +75,36 @@
     """Tells the gateway what is new, in slices where that is much."""
 
     def __init__(self, told: Callable[[Listing], None], known: Iterable[Entry] = ()) -> None:
-        self.told = told
-        self.held = {entry.backend.address: entry for entry in known}  # as the gateway was told last
-        self.in_doubt = False  # whether it took all that in: the next whole list is told as it is
+        self.on_list = told
+        self.delivered = {entry.backend.address: entry for entry in known}  # as the gateway was told last
+        self.needs_full_list = False  # whether it took all that in: the next whole list is told as it is
 
     async def deliver(self, listing: Listing) -> None:
         """All of a list, and what it leaves out where it is a whole one."""
-        if self.in_doubt or max(len(listing.entries), len(self.held) if listing.whole else 0) <= SLICE:
-            self.tell(listing.kind, listing.generation, listing.entries)
-            self.in_doubt = self.in_doubt and not listing.whole
+        if self.needs_full_list or max(len(listing.entries), len(self.delivered) if listing.is_full else 0) <= SLICE_ENTRIES:
+            self.deliver_part(listing.kind, listing.generation, listing.entries)
+            self.needs_full_list = self.needs_full_list and not listing.is_full
             return
         named = {entry.backend.address: entry for entry in listing.entries}  # of two for one the last counts
-        new = [entry for address, entry in named.items() if self.held.get(address) != entry]
-        if listing.whole:
+        new = [entry for address, entry in named.items() if self.delivered.get(address) != entry]
+        if listing.is_full:
             new += [
                 replace(entry, backend=replace(entry.backend, status=BackendStatus.REMOVED))
-                for address, entry in self.held.items()
+                for address, entry in self.delivered.items()
                 if address not in named
             ]
         new.sort(key=lambda entry: entry.backend.status is BackendStatus.SERVING)  # what drains goes first
-        for first in range(0, max(len(new), 1), SLICE):
+        for first in range(0, max(len(new), 1), SLICE_ENTRIES):
             if first:
                 await asyncio.sleep(0)
-            self.tell(ListKind.CHANGES, listing.generation, tuple(new[first : first + SLICE]))
+            self.deliver_part(ListKind.CHANGES, listing.generation, tuple(new[first : first + SLICE_ENTRIES]))
 
-    def tell(self, kind: ListKind, generation: int, entries: tuple[Entry, ...]) -> None:
+    def deliver_part(self, kind: ListKind, generation: int, entries: tuple[Entry, ...]) -> None:
         if kind is not ListKind.CHANGES:
-            self.held.clear()
+            self.delivered.clear()
         for entry in entries:
             if entry.backend.status is BackendStatus.REMOVED:
-                self.held.pop(entry.backend.address, None)
+                self.delivered.pop(entry.backend.address, None)
             else:
-                self.held[entry.backend.address] = entry
-        self.told(Listing(kind, generation, entries))
+                self.delivered[entry.backend.address] = entry
+        self.on_list(Listing(kind, generation, entries))
--- a/embersill/net/listing.py
+++ b/embersill/net/listing.py
@@ -14,7 +14,7 @@
 log = logging.getLogger("embersill")
 
 
-class BadList(Exception):
+class InvalidList(Exception):
     """A list that the protocol does not allow, or no list at all."""
 
 
@@ -34,7 +34,7 @@
     entries: tuple[Entry, ...]
 
     @property
-    def whole(self) -> bool:
+    def is_full(self) -> bool:
         return self.kind is not ListKind.CHANGES
 
 
@@ -53,7 +53,7 @@
     return tuple(dict.fromkeys(read_address(text.strip()) for text in texts))
 
 
-def given(entry: dict[str, Any], key: str, absent: Any) -> Any:
+def value_or_default(entry: dict[str, Any], key: str, absent: Any) -> Any:
     """A value that may be left out, or told as null."""
     value = entry.get(key)
     return absent if value is None else value
@@ -62,12 +62,12 @@
 def read_entry(entry: dict[str, Any]) -> Entry:
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
     status = STATUSES.get(str(entry["lifecycle"]), BackendStatus.DRAINING)  # unknown: no work
-    rating = float(given(entry, "weight", 1.0))
+    rating = float(value_or_default(entry, "weight", 1.0))
     if not (isfinite(started) and isfinite(rating)):
         raise ValueError(f"no number: {entry['instanceId']} has weight {rating} and start {started}")
     backend = Backend(
-        address=str(entry["instanceId"]), zone=str(given(entry, "zone", "")),
-        machine_type=str(given(entry, "machineType", "")), cell=int(given(entry, "cell", 0)), status=status,
+        address=str(entry["instanceId"]), zone=str(value_or_default(entry, "zone", "")),
+        machine_type=str(value_or_default(entry, "machineType", "")), cell=int(value_or_default(entry, "cell", 0)), status=status,
         rating=rating, started_at=started or None,
     )
     host_port = entry.get("hostPort")
@@ -85,7 +85,7 @@
         told = kind or (ListKind.FULL if loaded["reset"] else ListKind.CHANGES)
         return Listing(told, int(loaded["generation"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise BadList(f"{type(error).__name__}: {error}") from error
+        raise InvalidList(f"{type(error).__name__}: {error}") from error
 
 
 def parse_listing(body: bytes) -> Listing:
@@ -93,4 +93,4 @@
     try:
         return read_listing(json.loads(body))
     except (ValueError, RecursionError) as error:
-        raise BadList(f"{type(error).__name__}: {error}") from error
+        raise InvalidList(f"{type(error).__name__}: {error}") from error
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -116,7 +116,7 @@
 
 
 def links(pool: Pool) -> list[BackendConnection]:
-    return [link for link in pool.links if isinstance(link, BackendConnection)]
+    return [link for link in pool.connections if isinstance(link, BackendConnection)]
 
 
 class Bed:
--- a/tests/framing_model.py
+++ b/tests/framing_model.py
@@ -15,7 +15,7 @@
 
 from embersill.interface import Outcome
 from embersill.lab.peers import Peer, message, read_message, reset
-from embersill.net.backends import Answer, Attempt, Dialer
+from embersill.net.backends import AttemptResult, Attempt, Dialer
 
 OPTIONAL_WHITE_SPACE = b" \t"
 MOST_LENGTH_DIGITS = 18  # of a Content-Length without its leading zeros
@@ -396,7 +396,7 @@
 class Ended:
     """How an attempt ended, and over which connection it went."""
 
-    answer: Answer
+    answer: AttemptResult
     body: bytes
     connection: int
 
@@ -412,7 +412,7 @@
         self.turn = asyncio.Semaphore(CONNECTIONS // 4)
 
     async def attempt(self, backend: str, call_id: str) -> Ended:
-        ended: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
         sink = BodySink()
         now = self.dialer.pool.clock()
         head = b"POST /api HTTP/1.1\r\nX-Call-Id: %b\r\nContent-Length: 2\r\n" % call_id.encode()
--- a/tests/measure_list.py
+++ b/tests/measure_list.py
@@ -66,7 +66,7 @@
     def end(self) -> None:
         for task, made in zip(self.tasks, self.clients, strict=True):
             task.cancel()
-            made.drop()
+            made.disconnect()
 
 
 async def fill(calls: Caller, many: int = MANY) -> None:
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -33,13 +33,13 @@
 
         control.Gateway.take_entry = keeps_draining
         pool.Pool.retire = lambda self, backend: None
-        pool.Pool.forget_others = lambda self, known: None
+        pool.Pool.retire_unlisted = lambda self, known: None
     elif name == "stops following the list":
         run = discovery.Discovery.run
 
         async def follows_once(self):
-            self.heard.set()
-            if not self.newest:
+            self.has_responded.set()
+            if not self.newest_generation:
                 await run(self)
 
         discovery.Discovery.run = follows_once
@@ -47,14 +47,14 @@
         driver.Driver.client_left = lambda self, number: None
         driver.Driver.is_abandoned = lambda self, pending: pending.over
     elif name == "tells backends more time":
-        use = pool.Pool.use
+        use = pool.Pool.assign
 
         def tells_more(self, place, link, attempt):
-            carry, link.carry = link.carry, lambda a, wait: carry(a, wait + 1.0)
+            carry, link.send = link.send, lambda a, wait: carry(a, wait + 1.0)
             use(self, place, link, attempt)
-            del link.carry
+            del link.send
 
-        pool.Pool.use = tells_more
+        pool.Pool.assign = tells_more
     elif name == "sends two copies":
         start = backends.Dialer.start
 
--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -50,7 +50,7 @@
 
     async def choose() -> None:
         router = AggregatorRouter(lambda: 0.0, [NOWHERE], PATIENCE, 1.0, lambda counted: None, 64)
-        router.members_told(listing(listed))
+        router.update_members(listing(listed))
         for customer in CUSTOMERS:
             member = router.member_of(customer)
             assert member is not None
@@ -215,7 +215,7 @@
         async with fleet(2) as made:
             made.directory.entries = {}
             made.directory.generation = 5
-            made.router.members_told(listing([]))
+            made.router.update_members(listing([]))
             made.add(CUSTOMERS[:20])
             assert len(made.told) == 20  # without a turn of the loop
             assert {counted.outcome for counted in made.told} == {Outcome.NO_CONNECTION}
@@ -263,7 +263,7 @@
             made.add(here)
             assert await made.outcomes(20) == {Outcome.SERVED: 20}
             assert len(leaver.calls) == 10
-            await made.until(lambda: not leaver.open and not made.router.leaving)
+            await made.until(lambda: not leaver.open and not made.router.former_counters)
 
     run(test)
 
@@ -281,7 +281,7 @@
             await made.listed(1)
             made.add(here, 2.0)
             await made.until(lambda: len(made.peers["aggregator-0"].calls) == 5)
-            made.router.members_told(listing([]))
+            made.router.update_members(listing([]))
             made.add(here, 4.0)  # ends at once, and is told of last
             await asyncio.sleep(0.02)
             assert not made.told
@@ -290,7 +290,7 @@
             for customer in here:
                 ends = [(c.outcome, c.total) for c in made.told if c.name == f"{customer}.7"]
                 assert ends == [(Outcome.SERVED, 1.0), (Outcome.SERVED, 2.0), (Outcome.NO_CONNECTION, 0.0)]
-            assert not made.router.calls
+            assert not made.router.unreported_calls
 
     run(test)
 
@@ -307,7 +307,7 @@
             assert await made.outcomes(5) == {Outcome.TIMED_OUT: 5}
             leaver.free.set()
             await asyncio.sleep(2 * SHORT)
-            assert len(made.told) == 5 and not made.router.leaving
+            assert len(made.told) == 5 and not made.router.former_counters
 
     run(test)
 
@@ -341,7 +341,7 @@
                 await made.until(lambda: len(made.told) >= (number + 1) * 8)  # noqa: B023
                 # the bound is on what is open at once; those unused for a patience make way
                 for member in made.router.members.values():
-                    member.used -= 2 * PATIENCE
+                    member.last_used_at -= 2 * PATIENCE
                 await asyncio.sleep(0)
                 assert sum(len(peer.open) for peer in made.peers.values()) <= 9
             assert most == 8
@@ -374,8 +374,8 @@
     async def test() -> None:
         async with fleet(4) as made:
             other = made.make_router()
-            other.members_told(listing_of(made, [name for name in made.peers if name != "aggregator-2"]))
-            other.discovery.feed.told = lambda told: None  # it hears nothing for a while
+            other.update_members(listing_of(made, [name for name in made.peers if name != "aggregator-2"]))
+            other.discovery.feed.on_list = lambda told: None  # it hears nothing for a while
             customers = CUSTOMERS[:300]
             for customer in customers:
                 made.router.add(f"{customer}.7", 1.0, 60.0)
@@ -388,7 +388,7 @@
             assert split == missing
             assert set(made.sums().values()) == {2}  # nothing lost, nothing twice, over all members
             # with the same list again both go by one sum
-            other.members_told(listing_of(made, list(made.peers)))
+            other.update_members(listing_of(made, list(made.peers)))
             assert all(made.router.member_of(c).name == other.member_of(c).name  # type: ignore[union-attr]
                        for c in customers)
             other.close()
@@ -408,7 +408,7 @@
         made = read_listing({"generation": 1, "reset": True, "instances": told})
         assert [e.backend.status for e in made.entries] == [
             BackendStatus.SERVING, BackendStatus.DRAINING, BackendStatus.REMOVED]
-        router.members_told(made)
+        router.update_members(made)
         assert list(router.members) == ["a"]
         router.close()
 
@@ -458,13 +458,13 @@
         for part in (None, {"directory": f"{HOST}:4"}):
             told = configured(aggregation=part, limits={"sockets": sockets, "memory_mb": 192})
             program = Program(build_configuration(told, {}))
-            planned[part is not None] = program.dialer.pool.most + program.front.most
+            planned[part is not None] = program.dialer.pool.max_connections + program.front.most
             if program.driver.counter is not None:
                 program.driver.counter.close()
             program.driver.reporter.cancel()
             if part is not None:
                 assert isinstance(program.driver.counter, AggregatorRouter)
-                assert program.driver.counter.most_open == aggregators - 1
+                assert program.driver.counter.max_member_connections == aggregators - 1
         assert planned[False] - planned[True] == aggregators
 
     run(test)
@@ -499,7 +499,7 @@
         reload({"directory": directory.address})
         router = driver.counter
         assert isinstance(plain, Counter) and isinstance(router, AggregatorRouter)
-        assert router.most_open == 15  # no more than a part of the reserve is free in a gateway that runs
+        assert router.max_member_connections == 15  # no more than a part of the reserve is free in a gateway that runs
         async with asyncio.timeout(SOON):
             while not router.members:
                 await asyncio.sleep(0.002)
@@ -512,7 +512,7 @@
         await count("c.3", 3.0)
         assert bed.counter.calls == [("c.1", 1.0), ("c.3", 3.0)] and aggregator.calls == [("c.2", 2.0)]
         await asyncio.sleep(0.2)
-        assert router.following.done() and not aggregator.open
+        assert router.list_task.done() and not aggregator.open
         await directory.stop()
         await aggregator.stop()
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -13,7 +13,7 @@
 
 from embersill.interface import Outcome
 from embersill.lab.peers import HOST, Asked, free_port, message, reset
-from embersill.net.backends import REST, Answer, Attempt, Dialer
+from embersill.net.backends import REUSE_DELAY, AttemptResult, Attempt, Dialer
 from embersill.net.bodies import WHOLE, Sink
 from embersill.net.pool import Address, Pool
 from tests.bed import links, no_descriptors, run
@@ -34,8 +34,8 @@
 
     def start(
         self, wait: float = 5.0, body: bytes = b"ab", to: str = "b"
-    ) -> tuple[Attempt, asyncio.Future[Answer]]:
-        ended: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    ) -> tuple[Attempt, asyncio.Future[AttemptResult]]:
+        ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
         now = self.pool.clock()
         head = HEAD.replace(b"2\r", b"%d\r" % len(body))
         attempt = Attempt(to, head, body, now, now + wait, lambda _, a: ended.set_result(a), nowhere)
@@ -49,7 +49,7 @@
 
     async def rested(self) -> None:
         """Waits until the connections whose answers are there may be used again."""
-        while any(place.resting for place in self.pool.places.values()):
+        while any(place.in_reuse_delay for place in self.pool.backends.values()):
             await asyncio.sleep(0.001)
 
     def set_clock(self, clock: Callable[[], float]) -> None:
@@ -60,7 +60,7 @@
 
 
 def address(pool: Pool) -> Address:
-    found = pool.places["b"].address
+    found = pool.backends["b"].address
     assert found is not None
     return found
 
@@ -230,10 +230,10 @@
             assert await sender.outcome(0.05) is Outcome.TIMED_OUT
             attempt, ended = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
-            attempt.end(Answer(Outcome.CANCELLED))
+            attempt.end(AttemptResult(Outcome.CANCELLED))
             assert (await ended).outcome is Outcome.CANCELLED
             await peer.until(lambda: peer.ended == 2)
-            assert not sender.pool.links or await sender.outcome() is Outcome.SERVED
+            assert not sender.pool.connections or await sender.outcome() is Outcome.SERVED
 
     run(test)
 
@@ -262,15 +262,15 @@
             if way == "drain":
                 sender.pool.retire("b")
             elif way == "gone":
-                sender.pool.forget_others([])
+                sender.pool.retire_unlisted([])
             elif way == "end":
-                attempt.end(Answer(Outcome.NOT_SENT))
+                attempt.end(AttemptResult(Outcome.NOT_SENT))
             assert (await ended).outcome.never_ran
             sender.pool.retire("b")  # what is being opened may be kept for others
             async with asyncio.timeout(SOON):
-                while sender.pool.links:
+                while sender.pool.connections:
                     await asyncio.sleep(0.001)
-            assert not attempt.written and not sender.pool.opening
+            assert not attempt.was_assigned and not sender.pool.opening
 
     run(test)
 
@@ -295,7 +295,7 @@
             now = 18.0
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
             now = 28.0
-            sender.pool.sweep()
+            sender.pool.close_expired()
             await peer.until(lambda: peer.ended == 2)
 
     run(test)
@@ -368,7 +368,7 @@
             for writer in list(peer.open):
                 writer.transport.abort()
             assert (await ended).outcome is Outcome.CONNECTION_LOST
-            assert sender.pool.places["b"].borne == float("inf")
+            assert sender.pool.backends["b"].proven_idle_time == float("inf")
 
     run(test)
 
@@ -384,10 +384,10 @@
             _, second = sender.start(5.0)
             await peer.until(lambda: len(peer.seen) == 2)
             assert await sender.outcome() is Outcome.SERVED  # a third connection, kept
-            assert sender.pool.idle() == 1
+            assert sender.pool.idle_count() == 1
             attempt = next(c.attempt for c in links(sender.pool) if c.attempt is not None)
             attempt.time_out()
-            assert not sender.pool.idle() and (first.done() or second.done())
+            assert not sender.pool.idle_count() and (first.done() or second.done())
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 4
             sender.pool.set_address("b", address(sender.pool), 7.0)
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 5
@@ -398,15 +398,15 @@
 def test_the_pool_is_bounded_and_idle_connections_make_way() -> None:
     async def test() -> None:
         async with sending(says(b""), says(b"")) as (sender, peer):
-            sender.pool.most = 2
+            sender.pool.max_connections = 2
             sender.pool.set_address("c", address(sender.pool))
             first, _ = sender.start()
             second, _ = sender.start()
             third, ended = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
-            third.end(Answer(Outcome.CANCELLED))
+            third.end(AttemptResult(Outcome.CANCELLED))
             assert await sender.start_at("c") is Outcome.NOT_SENT  # nothing there can fall free: no room here
-            first.end(Answer(Outcome.CANCELLED))
+            first.end(AttemptResult(Outcome.CANCELLED))
             await peer.until(lambda: peer.ended == 1)
             assert await sender.outcome() is Outcome.SERVED
             assert await sender.start_at("c") is Outcome.SERVED
@@ -434,14 +434,14 @@
     async def test() -> None:
         async with sending(says(message(200)), says(b"")) as (sender, peer):
             told: list[tuple[str, int]] = []
-            sender.pool.open_failed = lambda backend, up: told.append((backend, up))
+            sender.pool.on_open_failed = lambda backend, up: told.append((backend, up))
             assert await sender.outcome() is Outcome.SERVED
             busy, _ = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
             assert peer.server is not None
             peer.server.close()  # the one that is up goes on
             assert await sender.outcome() is Outcome.NO_CONNECTION and told == [("b", 1)]
-            busy.end(Answer(Outcome.CANCELLED))
+            busy.end(AttemptResult(Outcome.CANCELLED))
 
     run(test)
 
@@ -451,7 +451,7 @@
         async with sending() as (sender, peer):
             with no_descriptors():
                 assert await sender.outcome() is Outcome.NOT_SENT
-            assert sender.pool.figures["pool open no descriptor"] == 1 and not sender.pool.links
+            assert sender.pool.figures["pool open no descriptor"] == 1 and not sender.pool.connections
             assert await sender.outcome() is Outcome.SERVED
 
     run(test)
@@ -474,18 +474,18 @@
                 made = [sender.start(0.03, to=dice.choice(["b", "b", "b", "nowhere"])) for _ in range(50)]
                 await asyncio.sleep(dice.choice([0.0, 0.0, 0.002]))
                 for attempt, _ in dice.sample(made, 30):
-                    attempt.end(Answer(Outcome.CANCELLED))
+                    attempt.end(AttemptResult(Outcome.CANCELLED))
                 await asyncio.wait([ended for _, ended in made])
                 ends += sum(ended.done() for _, ended in made)
             assert ends == 10_000
             await sender.rested()
             sender.pool.drop_idle("b")
             async with asyncio.timeout(SOON):
-                while sender.pool.links or peer.open:
+                while sender.pool.connections or peer.open:
                     await asyncio.sleep(0.01)
             after = len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
-            assert after == before and not sender.pool.short and sender.pool.places.keys() == {"b", "nowhere"}
-            assert not any(p.size() or p.waiting for p in sender.pool.places.values())
+            assert after == before and not sender.pool.backends_waiting and sender.pool.backends.keys() == {"b", "nowhere"}
+            assert not any(p.size() or p.waiting for p in sender.pool.backends.values())
             counts = sender.pool.figures
             assert counts["pool opened"] + counts["pool open refused"] > 1000
             peer.script = []
@@ -499,8 +499,8 @@
     late: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Measured on a day of spoilt answers: they come 3 to 4 ms after the first."""
-    assert REST >= 2 * 0.004
-    monkeypatch.setattr("embersill.net.backends.REST", 0.25)  # whatever the machine is busy with
+    assert REUSE_DELAY >= 2 * 0.004
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)  # whatever the machine is busy with
 
     async def answer_twice(writer: asyncio.StreamWriter, asked: Asked) -> None:
         writer.write(message(200, b"first"))
@@ -525,8 +525,8 @@
                 assert (await sender.start()[1]).outcome is Outcome.SERVED
             assert peer.connections == 1 and sender.pool.figures["pool opened"] == 1
             await sender.rested()
-            place = sender.pool.places["b"]
-            assert len(place.idle) == 1 and not place.used
+            place = sender.pool.backends["b"]
+            assert len(place.idle) == 1 and not place.in_use
 
     run(test)
 
@@ -535,7 +535,7 @@
 def test_what_ends_a_resting_connection_lets_the_attempt_that_waits_for_it_open_another(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.net.backends.REST", 0.25)
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)
 
     async def spoil(writer: asyncio.StreamWriter, asked: Asked) -> None:
         writer.write(message(200, b"first"))
@@ -552,7 +552,7 @@
             assert (await sender.start()[1]).body == b"first"
             assert (await sender.start()[1]).body == b"second"
             await sender.rested()
-            place = sender.pool.places["b"]
-            assert peer.connections == 2 and len(place.idle) == 1 and not place.used
+            place = sender.pool.backends["b"]
+            assert peer.connections == 2 and len(place.idle) == 1 and not place.in_use
 
     run(test)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -157,7 +157,7 @@
             whole.feed_data(text)
             (asked,) = [a for a in bed.seen() if a[1]["x-call-id"] == f"{1:016x}"]
             assert asked[2] == (await read_message(whole))[2] and "x-sum" not in asked[1]
-            assert bed.program.dialer.written == 2 and not bed.program.driver.gateway.jobs
+            assert bed.program.dialer.attempts_written == 2 and not bed.program.driver.gateway.jobs
 
     run(test)
 
@@ -222,7 +222,7 @@
             await upload_under_way(bed, client)
             status, headers, _ = await client.answer()
             assert status == 429 and float(headers["retry-after"]) > 0  # the backend never had the whole
-            assert len(calls) == 1 and bed.program.dialer.written == 0
+            assert len(calls) == 1 and bed.program.dialer.attempts_written == 0
             assert await client.closed()
             server.close()
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -151,11 +151,11 @@
 @each_way
 def test_a_request_in_line_for_a_connection_is_not_sent_on(way: str) -> None:
     async def test(bed: Bed) -> None:
-        bed.program.dialer.pool.most = 1
+        bed.program.dialer.pool.max_connections = 1
         first, second = await bed.client(), await bed.client()
         free = await held_at_backend(bed, first, 1)
         second.send(request(2, budget=1000.0))
-        while not any(p.waiting for p in bed.program.dialer.pool.places.values()):
+        while not any(p.waiting for p in bed.program.dialer.pool.backends.values()):
             await asyncio.sleep(0)
         WAYS[way](second)
         await only_first_is_served(bed, first, free)
@@ -253,7 +253,7 @@
     async def test(bed: Bed) -> None:
         first = await bed.client()
         free = await held_at_backend(bed, first, 1)
-        bed.program.dialer.pool.most = 1  # the body's attempt has to wait for its connection
+        bed.program.dialer.pool.max_connections = 1  # the body's attempt has to wait for its connection
         client = await bed.client()
         body = b"x" * 150_000  # more than waits here, and less than the kernel holds besides
         client.send(request(2, "extract", budget=1000.0, body=body))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -110,7 +110,7 @@
                 await client.ask(request(number))
             for _ in range(2):  # the call may be repeated
                 assert (await bed.console(b"SUSPEND b1\n")).startswith("done ")
-            assert not bed.program.driver.pool.places["b1"].idle
+            assert not bed.program.driver.pool.backends["b1"].idle
             assert (await figures(bed))["hosts_down"] == 1
             before = len(bed.backends[1].seen)
             away = bed.discovery.entry("b1", bed.backends[1].address, "DELETED")
@@ -139,7 +139,7 @@
             async with asyncio.timeout(SOON):
                 while not bed.program.driver.pool.opening:
                     await asyncio.sleep(0)
-            taken, place = next((b, p) for b, p in bed.program.driver.pool.places.items() if p.waiting)
+            taken, place = next((b, p) for b, p in bed.program.driver.pool.backends.items() if p.waiting)
             assert bed.program.driver.suspend(taken)
             assert not place.waiting and not place.opening
             assert (await client.answer())[0] == 200
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -10,7 +10,7 @@
 
 from embersill.interface import CounterCallEnded, Outcome
 from embersill.lab.peers import HOST
-from embersill.net.counter import IDLE_LIMIT, SILENT_AFTER, Counter
+from embersill.net.counter import MAX_IDLE_TIME, SILENT_AFTER_TIMEOUTS, Counter
 from tests.bed import no_descriptors, run
 from tests.peers import CounterPeer
 
@@ -58,7 +58,7 @@
             peer.free.clear()
             counter.add("c1.7", 40.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
-            counter.patience = 5.0
+            counter.timeout = 5.0
             counter.add("c1.7", 2.0, 4.0)
             peer.free.set()
             assert await told.next() == ("c1.7", Outcome.SERVED, 42.0)
@@ -73,11 +73,11 @@
             peer.free.clear()
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is Outcome.TIMED_OUT
-            told.now += 1.1 * SILENT_AFTER * counter.patience
+            told.now += 1.1 * SILENT_AFTER_TIMEOUTS * counter.timeout
             peer.free = asyncio.Event()  # the first connection stays silent
             peer.free.set()
-            counter.patience = 5.0
-            told.now += SILENT_AFTER * counter.patience
+            counter.timeout = 5.0
+            told.now += SILENT_AFTER_TIMEOUTS * counter.timeout
             counter.add("c1.7", 2.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, 3.0)
             assert peer.connections == 2
@@ -133,7 +133,7 @@
             peer.say = [reply]
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is Outcome.TIMED_OUT
-            counter.patience = 5.0
+            counter.timeout = 5.0
             counter.add("c1.7", 1.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, 2.0) and peer.connections == 2
 
@@ -179,12 +179,12 @@
 def test_a_call_given_up_while_its_line_came_up_is_never_written() -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            counter.patience = 0.0
+            counter.timeout = 0.0
             counter.add("c1.7", 1.0, 4.0)
-            line = next(x for x in counter.lines if x is not None)
-            counter.out_of_patience(line.unwritten[0][0])
+            line = next(x for x in counter.connections if x is not None)
+            counter.time_out(line.unwritten[0][0])
             assert (await told.next())[1] is Outcome.NO_CONNECTION
-            counter.patience = 5.0
+            counter.timeout = 5.0
             counter.add("c1.7", 2.0, 4.0)
             assert (await told.next())[2] == 2.0
             assert peer.calls == [("c1.7", 2.0)]
@@ -198,7 +198,7 @@
         async with calling() as (counter, told, peer):
             counter.add("c1.7", 1.0, 4.0)
             await told.next()
-            told.now += IDLE_LIMIT + 0.1
+            told.now += MAX_IDLE_TIME + 0.1
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[2] == 2.0 and peer.connections == 2
 
@@ -235,7 +235,7 @@
             while not peer.calls:
                 await asyncio.sleep(0)
             host, _, port = other.address.rpartition(":")
-            counter.move((host, int(port)))
+            counter.set_address((host, int(port)))
             counter.add("c1.7", 5.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, 5.0)
             peer.free.set()
@@ -255,9 +255,9 @@
             while not peer.calls:
                 await asyncio.sleep(0)
             counter.add("c1.7", 2.0, 4.0)
-            line = next(line for line in counter.lines if line is not None)
+            line = next(line for line in counter.connections if line is not None)
             line.pause_writing()
-            line.end()
+            line.fail_calls()
             assert [(await told.next())[1] for _ in range(2)] == [Outcome.TIMED_OUT, Outcome.NO_CONNECTION]
 
     run(test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,8 +9,8 @@
 from embersill.__main__ import Program, build_configuration
 from embersill.interface import ListKind, BackendStatus
 from embersill.lab.peers import message
-from embersill.net.discovery import EMPTY_AGAIN, Discovery, NoRoom
-from embersill.net.listing import BadList, Listing, read_address, read_addresses, read_listing
+from embersill.net.discovery import EARLY_EMPTY_PAUSE, Discovery, Overloaded
+from embersill.net.listing import InvalidList, Listing, read_address, read_addresses, read_listing
 from tests.bed import READY, Bed, Client, no_descriptors, request, roomy_settings, run, running
 from tests.peers import SOON, BackendPeer, DiscoveryPeer
 
@@ -31,7 +31,7 @@
         peer.entries = {"a": peer.entry("a", "127.0.0.1:9")}
         task, told = await follow(peer)
         first = await told.get()
-        assert first.whole and first.entries[0].address == ("127.0.0.1", 9)
+        assert first.is_full and first.entries[0].address == ("127.0.0.1", 9)
         await peer.until_asked(2)
         await peer.change(peer.entry("a", "127.0.0.1:9", "DRAINING"))
         second = await told.get()
@@ -74,9 +74,9 @@
         await peer.start()
         peer.entries, peer.hasty = {"a": peer.entry("a", "127.0.0.1:9")}, True
         task, told = await follow(peer, grace=grace)
-        assert (await told.get()).whole
+        assert (await told.get()).is_full
         await asyncio.sleep(0.5)
-        assert 2 < len(peer.asked) <= 2 + 0.5 / EMPTY_AGAIN
+        assert 2 < len(peer.asked) <= 2 + 0.5 / EARLY_EMPTY_PAUSE
         task.cancel()
         await peer.stop()
 
@@ -92,7 +92,7 @@
             task, told = await follow(peer)
             await asyncio.sleep(0.05)
             assert told.empty() and not peer.asked
-        assert (await told.get()).whole
+        assert (await told.get()).is_full
         task.cancel()
         await peer.stop()
 
@@ -111,7 +111,7 @@
         for writer in list(peer.open):
             writer.write(message(410) if way == "refused" else message(200, b"rubbish"))
         listing = await told.get()
-        assert listing.whole and "since" not in peer.asked[2]
+        assert listing.is_full and "since" not in peer.asked[2]
         await peer.until_asked(4)
         await peer.change({"instanceId": "a", "lifecycle": "DELETED"})
         assert (await told.get()).entries[0].backend.status is BackendStatus.REMOVED
@@ -127,7 +127,7 @@
 ) -> None:
     # ten gateways that asked for the whole list each second kept discovery full for good
     async def test() -> None:
-        monkeypatch.setattr("embersill.net.discovery.CROWDED", 0.01)
+        monkeypatch.setattr("embersill.net.discovery.OVERLOAD_BACKOFF", 0.01)
         peer = DiscoveryPeer()
         await peer.start()
         task, told = await follow(peer, 1)
@@ -163,7 +163,7 @@
             discovery = Discovery([("127.0.0.1", 9)], 5.0, lambda listing: None, 1, seed)
 
             async def full() -> Listing:
-                raise NoRoom("status 503")
+                raise Overloaded("status 503")
 
             monkeypatch.setattr(discovery, "call", full)
             with pytest.raises(asyncio.CancelledError):
@@ -191,7 +191,7 @@
 
     async def no_room() -> Listing:
         assert not pauses  # news count as told to a gateway that has not asked: the first call is not put off
-        raise NoRoom("status 503")
+        raise Overloaded("status 503")
 
     def first_pauses(seed: int) -> list[float]:
         async def test() -> None:
@@ -216,7 +216,7 @@
         peer = DiscoveryPeer()
         await peer.start()
         task, told = await follow(peer, 9)
-        assert (await told.get()).whole and "since" not in peer.asked[1]
+        assert (await told.get()).is_full and "since" not in peer.asked[1]
         task.cancel()
         await peer.stop()
 
@@ -230,7 +230,7 @@
         {"instanceId": "a", "lifecycle": "SERVING", "hostPort": "nowhere"}]},
 ])
 def test_a_list_out_of_form_is_told(wrong: object) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(InvalidList):
         read_listing(wrong)
 
 
@@ -260,7 +260,7 @@
 def test_nothing_goes_to_a_backend_whose_drain_a_silent_watch_has_missed(
     calls: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.net.discovery.WATCH_MS", 400)
+    monkeypatch.setattr("embersill.net.discovery.MAX_WATCH_MS", 400)
 
     async def test() -> None:
         async with running(backends=2) as bed:
@@ -303,7 +303,7 @@
     async def test() -> None:
         first, second = await two_peers()
         discovery, task, told = await follow_all([first, second])
-        assert (await told.get()).whole and not second.asked
+        assert (await told.get()).is_full and not second.asked
         await first.until_asked(2)
         await first.stop()
         await second.until_asked(1)
@@ -347,7 +347,7 @@
         first.generation, first.entries = 4, {}
         for writer in list(first.open):
             writer.transport.abort()
-        while (listing := await told.get()).generation != 4 or not listing.whole:
+        while (listing := await told.get()).generation != 4 or not listing.is_full:
             pass
         assert not listing.entries
         task.cancel()
@@ -366,7 +366,7 @@
     async def test() -> None:
         first, second = await two_peers()
         discovery, task, told = await follow_all([first, second])
-        assert (await told.get()).whole
+        assert (await told.get()).is_full
         await first.until_asked(2)
         for writer in list(first.open):
             writer.write(wrong)
@@ -383,11 +383,11 @@
 
 def test_an_answer_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("embersill.net.discovery.ANSWER_WITHIN", 0.05)
-        monkeypatch.setattr("embersill.net.discovery.OVERDUE", 0.05)
-        monkeypatch.setattr("embersill.net.discovery.WATCH_MS", 1)
-        monkeypatch.setattr("embersill.net.discovery.CROWDED", 0.01)
-        monkeypatch.setattr("embersill.net.discovery.MOST_LIST", 4096)
+        monkeypatch.setattr("embersill.net.discovery.MAX_ANSWER_TIME", 0.05)
+        monkeypatch.setattr("embersill.net.discovery.ANSWER_MARGIN", 0.05)
+        monkeypatch.setattr("embersill.net.discovery.MAX_WATCH_MS", 1)
+        monkeypatch.setattr("embersill.net.discovery.OVERLOAD_BACKOFF", 0.01)
+        monkeypatch.setattr("embersill.net.discovery.MAX_LIST_BYTES", 4096)
         first, second = await two_peers()
         discovery, task, told = await follow_all([first, second])
         await told.get()
@@ -404,8 +404,8 @@
 
 def test_it_goes_back_to_the_first_address_once_that_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("embersill.net.discovery.RETURN_AFTER", 0.0)
-        monkeypatch.setattr("embersill.net.discovery.WATCH_MS", 1)
+        monkeypatch.setattr("embersill.net.discovery.FAILBACK_DELAY", 0.0)
+        monkeypatch.setattr("embersill.net.discovery.MAX_WATCH_MS", 1)
         first, second = await two_peers()
         port = int(first.address.rpartition(":")[2])
         discovery, task, told = await follow_all([first, second])
@@ -413,10 +413,10 @@
         await first.stop()
         await second.until_asked(3)  # while it is away the watch goes on where it answers
         asked = len(first.asked)
-        discovery.return_after = discovery.return_at = 0.0
+        discovery.failback_delay = discovery.failback_at = 0.0
         await first.start(port)
         await first.until_asked(asked + 2)
-        assert discovery.place == 0
+        assert discovery.address_index == 0
         task.cancel()
         await first.stop()
         await second.stop()
@@ -454,7 +454,7 @@
         first.headers = ["Directory-Role: follower", "Directory-Lag: 41.5"]
         discovery, task, told = await follow_all([first, second])
         await told.get()
-        assert 41.0 < discovery.age() < 41.5 + SOON
+        assert 41.0 < discovery.list_age() < 41.5 + SOON
         task.cancel()
         await first.stop()
         await second.stop()
@@ -500,7 +500,7 @@
             *(bed.discovery.entry(f"s-{n:08x}", "127.0.0.1:9") for n in range(1024)))
         following = asyncio.get_running_loop().create_task(program.discovery.run())
         await bed.discovery.until_asked(2)
-        assert program.discovery.most_list == most * 1024 * 1024 and len(program.driver.serving) == 1024
+        assert program.discovery.max_list_bytes == most * 1024 * 1024 and len(program.driver.serving) == 1024
         following.cancel()
         program.driver.reporter.cancel()
         program.dialer.close()
--- a/tests/test_drain_moment.py
+++ b/tests/test_drain_moment.py
@@ -8,7 +8,7 @@
 
 from embersill.lab.peers import Asked, message
 from embersill.net.listing import read_listing
-from embersill.net.pool import Link
+from embersill.net.pool import PooledConnection
 from tests.bed import Bed, request, roomy_settings, run, running
 from tests.peers import SOON, serve
 
@@ -58,7 +58,7 @@
             text = request(1, "report", body=body)
             client.send(text[:-100_000])
             async with asyncio.timeout(SOON):
-                while not any(a.written for p in bed.program.driver.pending.values() for a in p.attempts):
+                while not any(a.was_assigned for p in bed.program.driver.pending.values() for a in p.attempts):
                     await asyncio.sleep(0.001)
             pending, = bed.program.driver.pending.values()
             name = pending.attempts[0].backend
@@ -108,10 +108,10 @@
             for number in range(20):
                 assert (await client.ask(request(number)))[0] == 200
             pool, leaving = bed.program.dialer.pool, bed.backends[0]
-            assert pool.places["b0"].idle
+            assert pool.backends["b0"].idle
             seen, up = len(leaving.seen), leaving.connections
             leave(bed, ["b0"], how)
-            pool.warm("b0", 1)  # what the module had asked for just before
+            pool.preconnect("b0", 1)  # what the module had asked for just before
             await leaving.until(lambda: leaving.ended == up)
             for number in range(20, 40):
                 assert (await client.ask(request(number)))[0] == 200
@@ -124,10 +124,10 @@
 def test_what_waits_for_a_connection_as_its_backend_drains_goes_where_the_new_list_serves(how: str) -> None:
     """Thirteen of fourteen drain at once: a list taken in entry by entry sent it to one of the next."""
 
-    class Coming(Link):
+    class Coming(PooledConnection):
         """A connection that does not come up."""
 
-        def shut(self) -> None:
+        def abort(self) -> None:
             pass
 
     async def test() -> None:
@@ -139,9 +139,9 @@
             client = await bed.client()
             client.send(request(1))
             async with asyncio.timeout(SOON):
-                while not any(place.waiting for place in pool.places.values()):
+                while not any(place.waiting for place in pool.backends.values()):
                     await asyncio.sleep(0.001)
-            waits = next(name for name, place in pool.places.items() if place.waiting)
+            waits = next(name for name, place in pool.backends.items() if place.waiting)
             pool.opener = opener
             serving = next(name for name in names if name != waits)
             leave(bed, [name for name in names if name != serving], how)
--- a/tests/test_framing_answers.py
+++ b/tests/test_framing_answers.py
@@ -346,7 +346,7 @@
 def test_a_second_answer_behind_the_first_reaches_nobody(
     wire: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.net.backends.REST", 0.25)  # whatever the machine is busy with
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)  # whatever the machine is busy with
     seconds = [wire, message(200, b"second"), message(503, b"", "X-Rejected: 1"), b"H", b"\r\n", b"0\r\n\r\n"]
     deliveries = [whole(wire + second) for second in seconds]
     deliveries += [split_at(wire + second, [len(wire)]) for second in seconds]
@@ -517,7 +517,7 @@
 
 @any_good
 def test_a_client_gets_a_whole_answer_alone(wire: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("embersill.net.backends.REST", 0.1)  # whatever the machine is busy with
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.1)  # whatever the machine is busy with
 
     async def test(bed: Bed) -> None:
         backend = await replace_backend(bed)
@@ -584,7 +584,7 @@
     begin: int, end: End, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # an answer whose length is not known goes on to its client after a while, though it is short
-    monkeypatch.setattr("embersill.net.backends.PASS_AFTER", 0.01)
+    monkeypatch.setattr("embersill.net.backends.STREAM_AFTER", 0.01)
     numbers = range(begin, min(begin + FEW, len(GOOD)))
 
     async def test(bed: Bed) -> None:
@@ -654,7 +654,7 @@
     told: asyncio.Queue[Listing] = asyncio.Queue()
     host, _, port = peer.address.rpartition(":")
     discovery = Discovery([(host, int(port))], 5.0, told.put_nowait)
-    discovery.most_back_off = discovery.back_off = 0.001
+    discovery.max_backoff = discovery.backoff = 0.001
     task = asyncio.get_running_loop().create_task(discovery.run())
     try:
         async with asyncio.timeout(SOON):
@@ -724,8 +724,8 @@
         told: asyncio.Queue[Listing] = asyncio.Queue()
         host, _, port = peer.address.rpartition(":")
         discovery = Discovery([(host, int(port)), ("127.0.0.1", 1)], 5.0, told.put_nowait, 9)
-        discovery.most_back_off = discovery.back_off = 0.001
-        discovery.take_over = 0.0
+        discovery.max_backoff = discovery.backoff = 0.001
+        discovery.takeover_spread = 0.0
         task = asyncio.get_running_loop().create_task(discovery.run())
         async with asyncio.timeout(SOON):
             listing = await told.get()
@@ -746,8 +746,8 @@
             bed.discovery.headers = ["Directory-Role: follower", line]
             await bed.discovery.change(bed.discovery.entry("b0", bed.backends[0].address, "DRAINING"))
             async with asyncio.timeout(SOON):
-                while bed.program.discovery.newest < bed.discovery.generation:
+                while bed.program.discovery.newest_generation < bed.discovery.generation:
                     await asyncio.sleep(0.001)
-            assert bed.program.discovery.age() >= 41.5
+            assert bed.program.discovery.list_age() >= 41.5
 
     run_bounded(test)
--- a/tests/test_framing_properties.py
+++ b/tests/test_framing_properties.py
@@ -186,7 +186,7 @@
 
 
 def test_answers_are_read_as_the_plain_reader_reads_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("embersill.net.backends.REST", 0.05)  # what follows an answer comes within it
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.05)  # what follows an answer comes within it
     with shared_loop() as loop:
         asker: Asker = loop.runner.run(loop.stack.enter_async_context(asking()))
 
--- a/tests/test_framing_requests.py
+++ b/tests/test_framing_requests.py
@@ -35,7 +35,7 @@
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """These backends send nothing behind an answer, so that their connections need not rest for it."""
-    monkeypatch.setattr("embersill.net.backends.REST", 0.0)
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.0)
 
 
 def post(number: int, lines: bytes, body: bytes) -> bytes:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -49,7 +49,7 @@
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 2)
             second = await bed.successor(env, folder)
             assert second.front.is_ready() and first.handover.gave
-            assert first.driver.pool.links and not first.driver.pool.idle()
+            assert first.driver.pool.connections and not first.driver.pool.idle_count()
             new = await bed.client()
             assert (await new.ask(request(4, customer="00000000000000c3")))[0] == 200
             assert (await idle.ask(request(5, units="8")))[0] == 429  # and is not full at the successor
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -60,8 +60,8 @@
         bed.program.driver.counter.add("c.1", 1.0, 1.0)
         await asyncio.sleep(0.02)
         transports = [c.transport for c in bed.program.front.connections]
-        transports += [getattr(link, "transport", None) for link in bed.program.dialer.pool.links]
-        transports += [line.transport for line in bed.program.driver.counter.lines if line is not None]
+        transports += [getattr(link, "transport", None) for link in bed.program.dialer.pool.connections]
+        transports += [line.transport for line in bed.program.driver.counter.connections if line is not None]
         assert bed.program.discovery.connection is not None
         transports.append(bed.program.discovery.connection.transport)
         assert len(transports) >= 4
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -94,32 +94,32 @@
     piece: int, every: float, ends_within: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Against a list that takes long, an answer that stops or only drips must not be waited for."""
-    monkeypatch.setattr(discovery, "ANSWER_WITHIN", 0.3)
-    monkeypatch.setattr(discovery, "SLOWEST_LIST", 1000)
+    monkeypatch.setattr(discovery, "MAX_ANSWER_TIME", 0.3)
+    monkeypatch.setattr(discovery, "MIN_LIST_RATE", 1000)
 
     async def test() -> None:
         began = time.monotonic()
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1) as limit:
-                progress, size = discovery.AnswerProgress(limit, 0.1), 1
-                progress.note(size)
+                progress, size = discovery.AnswerDeadline(limit, 0.1), 1
+                progress.extend(size)
                 while True:
                     await asyncio.sleep(every or 60.0)
                     size += piece
-                    progress.note(size)
+                    progress.extend(size)
         assert time.monotonic() - began < ends_within + SLACK
 
     run(test)
 
 
 def test_an_answer_that_comes_on_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "ANSWER_WITHIN", 0.3)
+    monkeypatch.setattr(discovery, "MAX_ANSWER_TIME", 0.3)
 
     async def test() -> None:
         async with asyncio.timeout(0.1) as limit:
-            progress = discovery.AnswerProgress(limit, 0.1)
+            progress = discovery.AnswerDeadline(limit, 0.1)
             for pieces in range(1, 31):
-                progress.note(pieces * discovery.SLOWEST_LIST)
+                progress.extend(pieces * discovery.MIN_LIST_RATE)
                 await asyncio.sleep(0.03)
 
     run(test)
--- a/tests/test_incident_growth.py
+++ b/tests/test_incident_growth.py
@@ -224,8 +224,8 @@
             for number in range(20, 40):
                 world.start(f"b{number}")  # one that is idle makes way
                 world.up()
-            world.pool.sweep()
-            world.pool.idle()
+            world.pool.close_expired()
+            world.pool.idle_count()
         return counted.number
 
     assert cost(MANY) <= ALLOWED * cost(USUAL)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -250,11 +250,11 @@
     assert isinstance(clock, Clock)
     clock.run(world.origin + 4.999)
     nodes = [node for node in world.nodes if isinstance(node, Node)]
-    assert any(place.waiting for node in nodes for place in node.pool.places.values())
+    assert any(place.waiting for node in nodes for place in node.pool.backends.values())
     clock.run(world.origin + 5.001)
     opened = sum(node.wired for node in nodes)
     clock.run(world.origin + 10.0)
-    assert sum(node.wired for node in nodes) == opened and not any(node.pool.links for node in nodes)
+    assert sum(node.wired for node in nodes) == opened and not any(node.pool.connections for node in nodes)
 
 
 def test_memory_stays_bounded_over_a_long_day() -> None:
@@ -268,7 +268,7 @@
         clock.run(world.origin + 3600.0 * hour)
         nodes = [node for node in world.nodes if isinstance(node, Node)]
         sizes.append((len(clock.queue), len(world.rules.open), len(world.counter.totals),
-                      sum(len(node.calls) + len(node.pool.links) for node in nodes)))
+                      sum(len(node.calls) + len(node.pool.connections) for node in nodes)))
     assert all(after <= 2 * before + 50 for before, after in zip(*sizes, strict=True)), sizes
 
 
--- a/tests/test_list_feed.py
+++ b/tests/test_list_feed.py
@@ -10,8 +10,8 @@
 
 from embersill.interface import ListKind, BackendStatus
 from embersill.net.discovery import Discovery
-from embersill.net.list_feed import SLICE, SLICED_FROM, ListFeed, ListReader
-from embersill.net.listing import BadList, Listing, parse_listing
+from embersill.net.list_feed import SLICE_ENTRIES, SLICED_FROM_BYTES, ListFeed, ListReader
+from embersill.net.listing import InvalidList, Listing, parse_listing
 from tests.bed import run
 from tests.peers import SOON, DiscoveryPeer, entry
 
@@ -37,7 +37,7 @@
     entries[6] |= {"lifecycle": "DELETED", "hostPort": None}
     entries[7] |= {"zone": 'Zürich \\ " \u0001', "lifecycle": "RESTING"}
     body = text_of(entries, whole=whole, indent=indent)
-    assert len(body) > SLICED_FROM
+    assert len(body) > SLICED_FROM_BYTES
 
     async def test() -> None:
         reader = ListReader()
@@ -67,7 +67,7 @@
     body = wrong(text_of(long_list()))
 
     async def test() -> None:
-        with pytest.raises(BadList):
+        with pytest.raises(InvalidList):
             await ListReader().read(body)
 
     run(test)
@@ -90,9 +90,9 @@
         read_after = turns
         await feed.deliver(listing)
         counter.cancel()
-        assert read_after >= MANY / SLICE
-        assert max(size for _, size in at_slices) <= SLICE
-        assert len({turn for turn, _ in at_slices}) == len(at_slices) >= MANY / SLICE
+        assert read_after >= MANY / SLICE_ENTRIES
+        assert max(size for _, size in at_slices) <= SLICE_ENTRIES
+        assert len({turn for turn, _ in at_slices}) == len(at_slices) >= MANY / SLICE_ENTRIES
 
     run(test)
 
@@ -125,7 +125,7 @@
     told: list[Listing] = []
 
     async def test() -> None:
-        listing = parse_listing(text_of(long_list()[:SLICE]))
+        listing = parse_listing(text_of(long_list()[:SLICE_ENTRIES]))
         await ListFeed(told.append).deliver(listing)
         assert told == [listing]
 
@@ -150,7 +150,7 @@
         async with asyncio.timeout(SOON):
             while not told:
                 await asyncio.sleep(0.005)
-        assert told[0].whole and len(told[0].entries) == MANY
+        assert told[0].is_full and len(told[0].entries) == MANY
         following.cancel()
         await peer.stop()
 
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -23,7 +23,7 @@
 from embersill.net.counter import read_reply
 from embersill.net.listing import read_listing
 from embersill.net.driver import Call
-from embersill.net.pool import Address, Link, Place, Pool
+from embersill.net.pool import Address, PooledConnection, BackendPool, Pool
 from embersill.settings import read_settings
 from tests.helpers import ONCE, OPEN, PLAN, SAFE, SETTINGS, backend, backends, ended, gateway, request
 from tests.operations import operations
@@ -435,7 +435,7 @@
 
 
 def pool_of(keepalive: float) -> Pool:
-    def never(backend: str, address: Address) -> Link:
+    def never(backend: str, address: Address) -> PooledConnection:
         raise AssertionError("nothing is opened")
 
     return Pool(lambda: START, never, 64, keepalive, PoolSettings())
@@ -444,7 +444,7 @@
 @pytest.mark.parametrize(("keepalive", "least"), [(0.5, 0.25), (1.0, 0.5), (1.5, 0.75), (15.0, 14.0)])
 def test_connections_are_kept_for_most_of_a_short_idle_limit(keepalive: float, least: float) -> None:
     """The margin of a second left nothing of an idle limit of one second: each request opened anew."""
-    assert least <= pool_of(keepalive).idle_limit(Place()) < keepalive
+    assert least <= pool_of(keepalive).idle_limit(BackendPool()) < keepalive
 
 
 def call_headers(**changes: str) -> dict[bytes, bytes]:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from embersill.interface import Outcome, PoolSettings
-from embersill.net.pool import Address, Failure, Link, Pool, State, Waiter
+from embersill.net.pool import Address, OpenFailure, PooledConnection, Pool, ConnectionState, Waiter
 
 WHERE: Address = ("127.0.0.1", 1)
 INF = float("inf")
@@ -24,21 +24,21 @@
         self.outcome = outcome
 
 
-class FakeLink(Link):
+class FakeLink(PooledConnection):
     def __init__(self, backend: str) -> None:
         super().__init__(backend)
         self.attempt: FakeAttempt | None = None
         self.up = self.shutting = self.unread = False
 
-    def carry(self, attempt: Waiter, wait: float) -> None:
+    def send(self, attempt: Waiter, wait: float) -> None:
         assert isinstance(attempt, FakeAttempt) and attempt.outcome is None and attempt.link is None
         assert self.attempt is None and self.up and not (self.shutting or self.unread)
         self.attempt, attempt.link = attempt, self
 
-    def shut(self) -> None:
+    def abort(self) -> None:
         self.shutting = True
 
-    def is_fit(self) -> bool:
+    def is_reusable(self) -> bool:
         return self.up and not (self.unread or self.shutting)
 
 
@@ -51,11 +51,11 @@
         self.told: list[tuple[str, int]] = []
         known = PoolSettings(**{"margin": 1.0, **told})  # type: ignore[arg-type]
         self.pool = Pool(lambda: self.now, self.open, most, keepalive, known)
-        self.pool.open_failed = lambda backend, up: self.told.append((backend, up))
+        self.pool.on_open_failed = lambda backend, up: self.told.append((backend, up))
         for backend in "abc":
             self.pool.set_address(backend, WHERE)
 
-    def open(self, backend: str, address: Address) -> Link:
+    def open(self, backend: str, address: Address) -> PooledConnection:
         self.made.append(FakeLink(backend))
         return self.made[-1]
 
@@ -67,7 +67,7 @@
     def up(self, place: int = -1) -> FakeLink:
         link = self.made[place]
         link.up = True
-        self.pool.came_up(link)
+        self.pool.opening_succeeded(link)
         return link
 
     def done(self, link: FakeLink) -> None:
@@ -75,12 +75,12 @@
         assert attempt is not None
         attempt.link = None
         attempt.outcome = Outcome.SERVED
-        self.pool.answered(link)
-        self.pool.put_back(link)
+        self.pool.answer_received(link)
+        self.pool.release(link)
 
     def gone(self, link: FakeLink) -> None:
         link.up = False
-        self.pool.ended(link)
+        self.pool.connection_closed(link)
 
 
 def test_the_one_used_last_is_used_next_and_surplus_ones_age_out() -> None:
@@ -96,7 +96,7 @@
         assert attempt.link is links[2]
         world.done(links[2])
     world.now += 1.5
-    world.pool.sweep()
+    world.pool.close_expired()
     assert links[0].shutting and links[1].shutting and not links[2].shutting
     assert world.pool.figures["pool aged"] == 2
 
@@ -109,20 +109,20 @@
     world.done(link)
     assert second.link is link  # it fell free while the other was still being opened
     late = world.up(1)
-    assert late.state is State.IDLE and world.start().link is late
+    assert late.state is ConnectionState.IDLE and world.start().link is late
 
 
 def test_one_failed_open_ends_one_attempt_and_only_where_opens_are_too_few() -> None:
     world = World()
     first, second = world.start(), world.start()
-    world.pool.failed(world.made[0], Failure.REFUSED)
+    world.pool.opening_failed(world.made[0], OpenFailure.REFUSED)
     assert first.outcome is Outcome.NO_CONNECTION and second.outcome is None
     third = world.start()
     link = world.up(1)
     assert second.link is link
     world.done(link)
     assert third.link is link
-    world.pool.failed(world.made[2], Failure.SILENT)  # nobody needs it any more
+    world.pool.opening_failed(world.made[2], OpenFailure.TIMED_OUT)  # nobody needs it any more
     assert third.link is link and third.outcome is None
 
 
@@ -134,7 +134,7 @@
     assert [link.backend for link in world.made[3:]] == ["a"]
     world.up(2)
     assert [link.backend for link in world.made[4:]] == ["b"]
-    world.pool.failed(world.made[1], Failure.SILENT)
+    world.pool.opening_failed(world.made[1], OpenFailure.TIMED_OUT)
     assert [link.backend for link in world.made[5:]] == ["c"]
     for place in (3, 4, 5):
         world.up(place)
@@ -158,9 +158,9 @@
     idle = world.up(0)
     world.done(idle)
     attempt = world.start("a")
-    world.pool.failed(world.made[1], Failure.LOCAL)
+    world.pool.opening_failed(world.made[1], OpenFailure.LOCAL)
     assert idle.shutting and attempt.outcome is None and len(world.made) == 3  # one more try, in its place
-    world.pool.failed(world.made[2], Failure.LOCAL)
+    world.pool.opening_failed(world.made[2], OpenFailure.LOCAL)
     assert attempt.outcome is Outcome.NOT_SENT and not world.told
     world = World(most=1)
     world.start("b")
@@ -179,11 +179,11 @@
     world.done(link)
     world.start()
     attempt = world.start()
-    world.pool.failed(world.made[1], Failure.REFUSED)
+    world.pool.opening_failed(world.made[1], OpenFailure.REFUSED)
     assert attempt.outcome is Outcome.NO_CONNECTION and world.told == [("a", 1)]
     world.now += 3.0  # silent for longer: it may as well be dead
     world.start()
-    world.pool.failed(world.made[2], Failure.SILENT)
+    world.pool.opening_failed(world.made[2], OpenFailure.TIMED_OUT)
     assert len(world.told) == 1
 
 
@@ -212,7 +212,7 @@
     assert world.start().link is link
     world.done(link)
     world.now += 1.1
-    world.pool.sweep()
+    world.pool.close_expired()
     assert link.shutting and world.pool.figures["pool aged"] == 1
 
 
@@ -227,19 +227,19 @@
         elif way == "drained":
             world.pool.retire("a")
         elif way == "banned":
-            world.pool.hang_up("a")
+            world.pool.close_unused("a")
         else:
-            world.pool.forget_others("bc")
-        assert world.made[1].shutting and link.state is State.RETIRING and busy.link is link
+            world.pool.retire_unlisted("bc")
+        assert world.made[1].shutting and link.state is ConnectionState.RETIRING and busy.link is link
         assert waits.outcome is (None if way == "replaced" else Outcome.NO_CONNECTION)
         world.done(link)
-        assert link.shutting and not world.pool.idle()
+        assert link.shutting and not world.pool.idle_count()
         if way == "replaced":
             world.up(2)
             assert waits.link is world.made[2]
         world.gone(link)
         world.gone(world.made[1])
-        assert not world.pool.opening and (way != "drained" or "a" not in world.pool.places)
+        assert not world.pool.opening and (way != "drained" or "a" not in world.pool.backends)
 
 
 def test_a_max_age_ends_connections_apart() -> None:
@@ -256,12 +256,12 @@
 
 def test_what_is_opened_ahead_is_bounded_and_used() -> None:
     world = World(opening_each=2)
-    world.pool.warm("a", 5)
+    world.pool.preconnect("a", 5)
     assert len(world.made) == 2
     world.up(0)
-    world.pool.warm("a", 1)
+    world.pool.preconnect("a", 1)
     assert len(world.made) == 2 and world.start().link is world.made[0]
-    world.pool.warm("nobody", 1)
+    world.pool.preconnect("nobody", 1)
 
 
 class AnyOrder(RuleBasedStateMachine):
@@ -274,7 +274,7 @@
         self.attempts: list[FakeAttempt] = []
         self.over: set[FakeLink] = set()
 
-    def links(self, *states: State) -> list[FakeLink]:
+    def links(self, *states: ConnectionState) -> list[FakeLink]:
         return [k for k in self.world.made if k.state in states and k not in self.over]
 
     def one(self, draw: st.DataObject, links: list[FakeLink]) -> FakeLink | None:
@@ -288,28 +288,28 @@
 
     @rule(draw=st.data())
     def came_up(self, draw: st.DataObject) -> None:
-        link = self.one(draw, [k for k in self.links(State.OPENING, State.CLOSED) if not k.up])
+        link = self.one(draw, [k for k in self.links(ConnectionState.OPENING, ConnectionState.CLOSED) if not k.up])
         if link is not None:  # also one that was stopped just as it came up
             link.up = True
-            self.pool.came_up(link)
+            self.pool.opening_succeeded(link)
 
-    @rule(draw=st.data(), failure=st.sampled_from(Failure))
-    def failed(self, draw: st.DataObject, failure: Failure) -> None:
-        link = self.one(draw, self.links(State.OPENING))
+    @rule(draw=st.data(), failure=st.sampled_from(OpenFailure))
+    def failed(self, draw: st.DataObject, failure: OpenFailure) -> None:
+        link = self.one(draw, self.links(ConnectionState.OPENING))
         if link is not None:
             self.over.add(link)
-            self.pool.failed(link, failure)
-            self.pool.ended(link)
+            self.pool.opening_failed(link, failure)
+            self.pool.connection_closed(link)
 
     @rule(draw=st.data())
     def answered(self, draw: st.DataObject) -> None:
-        link = self.one(draw, [k for k in self.links(State.IN_USE, State.RETIRING) if k.attempt])
+        link = self.one(draw, [k for k in self.links(ConnectionState.IN_USE, ConnectionState.RETIRING) if k.attempt])
         if link is not None:
             self.world.done(link)
 
     @rule(draw=st.data())
     def cut(self, draw: st.DataObject) -> None:
-        link = self.one(draw, [k for k in self.links(State.IDLE, State.IN_USE, State.RETIRING)])
+        link = self.one(draw, [k for k in self.links(ConnectionState.IDLE, ConnectionState.IN_USE, ConnectionState.RETIRING)])
         if link is not None:
             self.lose(link)
 
@@ -318,7 +318,7 @@
         self.over.add(link)
         self.world.gone(link)
         if attempt is not None:
-            self.pool.broke(link, attempt.sent_at)
+            self.pool.connection_broke(link, attempt.sent_at)
             attempt.link, attempt.outcome = None, Outcome.CONNECTION_LOST
 
     @rule(draw=st.data())
@@ -328,14 +328,14 @@
         if attempt is not None and attempt.link is not None:
             attempt.link.attempt, link = None, attempt.link
             attempt.link, attempt.outcome = None, Outcome.CANCELLED
-            link.shut()
+            link.abort()
         elif attempt is not None:
             attempt.outcome = Outcome.CANCELLED
             self.pool.withdraw(attempt)
 
     @rule(draw=st.data())
     def stray_byte(self, draw: st.DataObject) -> None:
-        link = self.one(draw, self.links(State.IDLE))
+        link = self.one(draw, self.links(ConnectionState.IDLE))
         if link is not None:
             link.unread = True
 
@@ -352,64 +352,64 @@
         elif what == 2:
             self.pool.retire(backend)
         elif what == 3:
-            self.pool.hang_up(backend)
+            self.pool.close_unused(backend)
         elif what == 4:
             self.pool.set_size(backend, number, number + 1, 2.0 * number)
         elif what == 5:
-            self.pool.warm(backend, number)
+            self.pool.preconnect(backend, number)
         else:
             self.pool.drop_idle(backend)
 
     @rule(seconds=st.sampled_from([0.001, 0.5, 10.0]))
     def later(self, seconds: float) -> None:
         self.world.now += seconds
-        self.pool.sweep()
+        self.pool.close_expired()
 
     @rule(keeping=st.booleans())
     def handed_over(self, keeping: bool) -> None:
         if keeping:
-            self.pool.keeping = True
+            self.pool.keeps_idle = True
         else:
-            self.pool.keep_none()
+            self.pool.stop_keeping_idle()
 
     @invariant()
     def each_stands_in_one_place(self) -> None:
-        stands: list[Link] = []
-        for place in self.pool.places.values():
-            stands += [*place.idle, *place.opening, *place.used]
-            assert all(k.state is State.IDLE for k in place.idle)
-            assert all(k.state is State.OPENING for k in place.opening) and len(place.opening) <= 2
-            assert all(k.state in (State.IN_USE, State.RETIRING) for k in place.used)
-            assert len(place.idle) <= place.keep
+        stands: list[PooledConnection] = []
+        for place in self.pool.backends.values():
+            stands += [*place.idle, *place.opening, *place.in_use]
+            assert all(k.state is ConnectionState.IDLE for k in place.idle)
+            assert all(k.state is ConnectionState.OPENING for k in place.opening) and len(place.opening) <= 2
+            assert all(k.state in (ConnectionState.IN_USE, ConnectionState.RETIRING) for k in place.in_use)
+            assert len(place.idle) <= place.max_idle
         assert len(stands) == len(set(stands)) <= 6
-        assert set(stands) == {k for k in self.world.made if k.state is not State.CLOSED}
-        assert self.pool.opening == sum(k.state is State.OPENING for k in stands) <= 3
-        assert self.pool.links == {k for k in self.world.made if k not in self.over}
-        idle = {k: p for p in self.pool.places.values() for k in p.idle}
-        assert self.pool.idle_links == idle
-        since = [k.idle_since for k in self.pool.idle_links]
+        assert set(stands) == {k for k in self.world.made if k.state is not ConnectionState.CLOSED}
+        assert self.pool.opening == sum(k.state is ConnectionState.OPENING for k in stands) <= 3
+        assert self.pool.connections == {k for k in self.world.made if k not in self.over}
+        idle = {k: p for p in self.pool.backends.values() for k in p.idle}
+        assert self.pool.idle_connections == idle
+        since = [k.idle_since for k in self.pool.idle_connections]
         assert since == sorted(since)  # the first is the one that makes way
-        assert self.pool.resting == sum(p.resting for p in self.pool.places.values())
+        assert self.pool.in_reuse_delay == sum(p.in_reuse_delay for p in self.pool.backends.values())
 
     @invariant()
     def each_attempt_has_its_own_connection_or_waits(self) -> None:
-        waiting = [a for p in self.pool.places.values() for a in p.waiting]
+        waiting = [a for p in self.pool.backends.values() for a in p.waiting]
         assert len(waiting) == len(set(waiting))
         live = [a for a in self.attempts if a.outcome is None]
         assert {a for a in live if a.link is None} == set(waiting)
         carried = [a.link for a in live if a.link is not None]
         assert len(carried) == len(set(carried)) and all(k.attempt and k.attempt.link is k for k in carried)
-        for place in self.pool.places.values():
+        for place in self.pool.backends.values():
             numbers = [a.number for a in place.waiting if isinstance(a, FakeAttempt)]
             assert numbers == sorted(numbers) and not (place.waiting and place.idle)
 
     @invariant()
     def who_waits_has_something_to_wait_for(self) -> None:
-        ending = [k for k in self.world.made if k.state is State.CLOSED and k not in self.over]
-        for backend, place in self.pool.places.items():
+        ending = [k for k in self.world.made if k.state is ConnectionState.CLOSED and k not in self.over]
+        for backend, place in self.pool.backends.items():
             if place.waiting:
-                busy = backend in self.pool.short and (self.pool.opening or ending)
-                assert place.opening or place.used or busy or any(k.backend == backend for k in ending)
+                busy = backend in self.pool.backends_waiting and (self.pool.opening or ending)
+                assert place.opening or place.in_use or busy or any(k.backend == backend for k in ending)
 
 
 AnyOrder.TestCase.settings = settings(
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -9,7 +9,7 @@
 
 from embersill.interface import Outcome
 from embersill.lab.peers import Asked, message
-from embersill.net.backends import Answer, Attempt, BackendConnection, Dialer
+from embersill.net.backends import AttemptResult, Attempt, BackendConnection, Dialer
 from embersill.net.bodies import ended_unread
 from embersill.net.pool import Address, Pool
 from tests.bed import Bed, request, roomy_settings, run, running
@@ -77,9 +77,9 @@
                 writer.write(message(200, b"served"))
 
             async def fail_when_others_wait(writer: asyncio.StreamWriter, asked: Asked) -> None:
-                bed.program.dialer.pool.most = 1
+                bed.program.dialer.pool.max_connections = 1
                 other.send(request(2, budget=20.0))
-                while not any(p.waiting for p in bed.program.dialer.pool.places.values()):
+                while not any(p.waiting for p in bed.program.dialer.pool.backends.values()):
                     await asyncio.sleep(0)
                 writer.write(message(500, b""))
 
@@ -100,14 +100,14 @@
     async def test() -> None:
         async with running(1, env=keyed_settings(window=5.0)) as bed:
             bed.backends[0].script = [fail]
-            carry, clock = BackendConnection.carry, bed.program.dialer.pool.clock
+            carry, clock = BackendConnection.send, bed.program.dialer.pool.clock
 
             def late(self: BackendConnection, attempt: Any, wait: float) -> None:
                 if out_at(bed):
                     self.pool.clock = lambda: clock() + 5.0  # the loop was busy: the timer has not run yet
                 carry(self, attempt, wait)
 
-            monkeypatch.setattr(BackendConnection, "carry", late)
+            monkeypatch.setattr(BackendConnection, "send", late)
             status, _, _ = await (await bed.client()).ask(keyed(1))
             assert status in (429, 502) and out_at(bed) == 1
 
@@ -117,13 +117,13 @@
 def test_a_request_that_is_not_written_whole_when_the_window_ends_never_ran() -> None:
     async def test() -> None:
         async with running(1, env=keyed_settings()) as bed:
-            peer, ends = bed.backends[0], list[Answer]()
+            peer, ends = bed.backends[0], list[AttemptResult]()
             client = await bed.client()
             peer.script = [lambda writer, asked: writer.write(message(200, b""))]
             assert (await client.ask(request(1)))[0] == 200
             pool: Pool = bed.program.dialer.pool
-            link = next(link for link in pool.links if isinstance(link, BackendConnection))
-            link.unsent = True  # the kernel has not taken what was written before
+            link = next(link for link in pool.connections if isinstance(link, BackendConnection))
+            link.write_pending = True  # the kernel has not taken what was written before
             link.transport.pause_reading()  # type: ignore[union-attr]
             now = pool.clock()
             attempt = Attempt("b0", b"GET / HTTP/1.1\r\n", b"", now, now + SOON, lambda _, a: ends.append(a),
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -15,7 +15,8 @@
 from embersill.interface import BackendStatus
 from embersill.lab.peers import message
 from embersill.net.discovery import (
-    CALLS, CROWDED, FEW, JITTER, NEXT_WITHIN, WATCH_MS, WATCH_PART, Discovery, NoRoom,
+    FLEET_CALL_RATE, JITTER, MAX_CALL_INTERVAL, MAX_UNSPREAD_GATEWAYS, MAX_WATCH_MS, MIN_WATCH_SHARE,
+    OVERLOAD_BACKOFF, Discovery, Overloaded,
 )
 from tests.virtual import AGENT, WIRE, Agent, Follower, Link, VirtualLoop, entry, play
 
@@ -102,7 +103,7 @@
         await asyncio.sleep(SILENCE)
         first = sorted(gateway.heard_at(agent.generation) for gateway in fleet)
         assert first[-1] <= silent + SILENCE
-        spread = WATCH_MS / 1000.0 * (1.0 - WATCH_PART)
+        spread = MAX_WATCH_MS / 1000.0 * (1.0 - MIN_WATCH_SHARE)
         assert busiest(first) <= 1.5 * 200 / spread  # one and a half times the average
         again = [target for _, target in agent.asked[before:] if "timeout_ms=1" in target.split("&")]
         assert len(again) == 200  # one call each, and then the next watch
@@ -123,7 +124,7 @@
         await asyncio.sleep(12.0)
         assert len(agent.asked) - before <= 4 * 200  # a call after the silence, a watch, turns for some
         heard = sum(gateway.states == {"a": "draining"} for gateway in fleet)
-        assert heard >= 10 * (12.0 - NEXT_WITHIN) / 2  # half of what there is room for are watches
+        assert heard >= 10 * (12.0 - MAX_CALL_INTERVAL) / 2  # half of what there is room for are watches
         agent.room = 0
         await asyncio.sleep(SILENCE)
         assert all(gateway.states == {"a": "draining"} for gateway in fleet)
@@ -216,7 +217,7 @@
             old.took += [loop.time() + t / 10 for t in range(30)]  # others take what room there is
             old.reset()
             await asyncio.sleep(3.0)
-        gateway.discovery.move([AGENT])
+        gateway.discovery.set_addresses([AGENT])
         await asyncio.sleep(0.2)
         assert gateway.states == {"a": "draining"} and gateway.discovery.generation == 7
         await asyncio.sleep(20.0)
@@ -236,7 +237,7 @@
         await asyncio.sleep(WIRE / 2)
         body = b'{"generation":9,"reset":true,"instances":[]}'
         link.deliver(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-        gateway.discovery.move([AGENT])  # before the task that waits for the answer goes on
+        gateway.discovery.set_addresses([AGENT])  # before the task that waits for the answer goes on
         await asyncio.sleep(0.2)
         assert gateway.states == {"a": "draining"} and gateway.discovery.generation == new.generation
         assert all(listing.generation != 9 for _, listing in gateway.told)
@@ -251,7 +252,7 @@
         agent.change(entry("a", "DELETED" if how == "absent" else "DRAINING"))
         gateway = Follower(loop, gateways=200, known=1 if how == "change" else None)
         await asyncio.sleep(10 * WIRE)
-        assert gateway.told[0][1].whole is (how != "change")
+        assert gateway.told[0][1].is_full is (how != "change")
         statuses = {e.backend.address: e.backend.status for e in gateway.told[0][1].entries}
         assert statuses.get("a") is {"absent": None}.get(how, BackendStatus.DRAINING)
 
@@ -266,10 +267,10 @@
         pauses = []
         for seed in range(gateways):
             discovery = Discovery([AGENT], 0.25, lambda told: None, 1, seed, gateways, None)
-            pauses.append([discovery.failed(NoRoom("status 503")) for _ in range(8)])
-        assert max(map(max, pauses)) <= NEXT_WITHIN and min(map(min, pauses)) >= CROWDED * (1 - JITTER)
-        if gateways > FEW:  # spread over the time that the bound leaves, or that all need
-            over = min(gateways / CALLS, NEXT_WITHIN - CROWDED)
+            pauses.append([discovery.handle_failure(Overloaded("status 503")) for _ in range(8)])
+        assert max(map(max, pauses)) <= MAX_CALL_INTERVAL and min(map(min, pauses)) >= OVERLOAD_BACKOFF * (1 - JITTER)
+        if gateways > MAX_UNSPREAD_GATEWAYS:  # spread over the time that the bound leaves, or that all need
+            over = min(gateways / FLEET_CALL_RATE, MAX_CALL_INTERVAL - OVERLOAD_BACKOFF)
             assert all(busiest([p[n] for p in pauses]) <= 1.3 * gateways / over + 5 for n in range(8))
 
     play(test)
@@ -361,7 +362,7 @@
         await asyncio.sleep(3.0)
         Troubled(loop, (first,) * len(fleet), generation=7, entries={"a": entry("a", "DRAINING")})
         for gateway in fleet:
-            gateway.discovery.move([AGENT])
+            gateway.discovery.set_addresses([AGENT])
         await asyncio.sleep(4.0)
         assert all(gateway.states == {"a": "draining"} for gateway in fleet)
 
@@ -483,8 +484,8 @@
         Agent(loop)
         for grace in (GRACE, None):
             one, other = (Follower(loop, 1, 200, grace).discovery for _ in range(2))
-            pause = one.failed(NoRoom("status 503"))
-            assert pause <= GRACE / 2 if grace else CROWDED <= pause <= NEXT_WITHIN
-            assert other.failed(TimeoutError()) < 0.1 and other.patience(10.0) == 0.5
+            pause = one.handle_failure(Overloaded("status 503"))
+            assert pause <= GRACE / 2 if grace else OVERLOAD_BACKOFF <= pause <= MAX_CALL_INTERVAL
+            assert other.handle_failure(TimeoutError()) < 0.1 and other.answer_timeout(10.0) == 0.5
 
     play(test)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -202,7 +202,7 @@
 
     def hear(self, listing: Listing) -> None:
         self.told.append((self.loop.time(), listing))
-        if listing.whole:
+        if listing.is_full:
             self.states = {}
         self.states.update({e.backend.address: e.backend.status.value for e in listing.entries})
 
