--- a/embersill/net/list_feed.py
+++ b/embersill/net/list_feed.py
@@ -1,8 +1,9 @@
-"""Long lists of backends in slices: reading one, and telling what is new in it, must not hold the loop up.
+"""Parses and delivers long backend lists in slices, so that they do not block the event loop.
 
-A list of 3,200 backends has 600 KB and takes 40 ms of a whole core to read and take in; a gateway has a part
-of one. Between two slices the loop serves what waits. What drains or is gone is told first. Of a whole list
-only what differs from the last one is told, as changes. Short lists take none of these ways.
+A list of 3,200 backends has 600 KB and takes 40 ms of a full core to parse and apply; a gateway has only part
+of a core. Between two slices the loop handles pending events. Draining and removed backends are delivered
+first. Of a full list only the differences from the last one are delivered, as changes. Short lists are parsed
+and delivered at once.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 if TYPE_CHECKING:
     import msgspec
 
-SLICE_ENTRIES = 100  # entries between two turns of the loop: under a millisecond of a core
-SLICED_FROM_BYTES = 64 * 1024  # bytes of an answer from which it is read in slices: some 350 backends
+SLICE_ENTRIES = 100  # entries handled between two turns of the event loop: under 1 ms of a core
+SLICED_FROM_BYTES = 64 * 1024  # a response from this size on is parsed in slices: some 350 backends
 
 
 @lru_cache(maxsize=1)
 def list_decoder() -> msgspec.json.Decoder[Any]:
-    """Divides a list into its entries' texts; loaded only where there are long lists."""
+    """Splits a list into the raw JSON of its entries; msgspec is imported only where there are long lists."""
     import msgspec
 
     entries = list[msgspec.Raw]
@@ -35,13 +36,13 @@
 
 
 class ListReader:
-    """Reads lists; of long ones it keeps the entries by their texts, as most come again unchanged."""
+    """Parses lists; caches the entries of long ones by their raw JSON, as most are repeated."""
 
     def __init__(self) -> None:
         self.entries_by_text: dict[bytes, Entry] = {}
 
     async def read(self, body: bytes) -> Listing:
-        """What discovery answered; BadList says what is wrong with it."""
+        """Parses the body of a response; InvalidList where it is malformed."""
         if len(body) < SLICED_FROM_BYTES:
             return parse_listing(body)
         import msgspec
@@ -49,22 +50,23 @@
         try:
             text = list_decoder().decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return parse_listing(body)  # which says what is wrong, and takes what JSON is besides UTF-8
+            return parse_listing(body)  # raises the detailed error, and accepts JSON in UTF-16 and UTF-32
         try:
-            generation, whole = int(json.loads(bytes(text.generation))), bool(json.loads(bytes(text.reset)))
+            generation, is_full = int(json.loads(bytes(text.generation))), bool(json.loads(bytes(text.reset)))
             entries = [entry async for entry in self.read_entries(text.instances)]
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
             raise InvalidList(f"{type(error).__name__}: {error}") from error
-        return Listing(ListKind.FULL if whole else ListKind.CHANGES, generation, tuple(entries))
+        return Listing(ListKind.FULL if is_full else ListKind.CHANGES, generation, tuple(entries))
 
     async def read_entries(self, texts: list[Any]) -> AsyncIterator[Entry]:
+        """Parses entries, with a turn of the event loop after each slice."""
         import msgspec
 
         decode = msgspec.json.Decoder().decode
-        before, self.entries_by_text = self.entries_by_text, {}
+        previous, self.entries_by_text = self.entries_by_text, {}
         for number, text in enumerate(texts, 1):
             key = bytes(text)
-            entry = before.get(key) or read_entry(decode(key))
+            entry = previous.get(key) or read_entry(decode(key))
             self.entries_by_text[key] = entry
             yield entry
             if number % SLICE_ENTRIES == 0:
@@ -72,20 +74,24 @@
 
 
 class ListFeed:
-    """Tells the gateway what is new, in slices where that is much."""
+    """Delivers what is new in each list to the gateway, in slices where there is much of it."""
 
-    def __init__(self, told: Callable[[Listing], None], known: Iterable[Entry] = ()) -> None:
-        self.on_list = told
-        self.delivered = {entry.backend.address: entry for entry in known}  # as the gateway was told last
-        self.needs_full_list = False  # whether it took all that in: the next whole list is told as it is
+    def __init__(self, on_list: Callable[[Listing], None], known: Iterable[Entry] = ()) -> None:
+        """`known`: the entries that the gateway has already."""
+        self.on_list = on_list
+        self.delivered = {entry.backend.address: entry for entry in known}  # what the gateway has, by name
+        self.needs_full_list = False  # a delivery failed: the next full list is delivered unreduced
 
     async def deliver(self, listing: Listing) -> None:
-        """All of a list, and what it leaves out where it is a whole one."""
-        if self.needs_full_list or max(len(listing.entries), len(self.delivered) if listing.is_full else 0) <= SLICE_ENTRIES:
+        """Delivers a list; for a full one also the removal of the backends that it leaves out."""
+        if self.needs_full_list or max(
+            len(listing.entries), len(self.delivered) if listing.is_full else 0
+        ) <= SLICE_ENTRIES:
             self.deliver_part(listing.kind, listing.generation, listing.entries)
             self.needs_full_list = self.needs_full_list and not listing.is_full
             return
-        named = {entry.backend.address: entry for entry in listing.entries}  # of two for one the last counts
+        # the last of several entries for one backend counts
+        named = {entry.backend.address: entry for entry in listing.entries}
         new = [entry for address, entry in named.items() if self.delivered.get(address) != entry]
         if listing.is_full:
             new += [
@@ -93,13 +99,15 @@
                 for address, entry in self.delivered.items()
                 if address not in named
             ]
-        new.sort(key=lambda entry: entry.backend.status is BackendStatus.SERVING)  # what drains goes first
+        # draining and removed ones first
+        new.sort(key=lambda entry: entry.backend.status is BackendStatus.SERVING)
         for first in range(0, max(len(new), 1), SLICE_ENTRIES):
             if first:
                 await asyncio.sleep(0)
             self.deliver_part(ListKind.CHANGES, listing.generation, tuple(new[first : first + SLICE_ENTRIES]))
 
     def deliver_part(self, kind: ListKind, generation: int, entries: tuple[Entry, ...]) -> None:
+        """Records the entries as delivered and calls `on_list` with them."""
         if kind is not ListKind.CHANGES:
             self.delivered.clear()
         for entry in entries:
--- a/embersill/net/listing.py
+++ b/embersill/net/listing.py
@@ -1,4 +1,4 @@
-"""Lists of backends in discovery's form: their types, and how their texts are read."""
+"""Types and parsing of the backend lists that discovery sends as JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InvalidList(Exception):
-    """A list that the protocol does not allow, or no list at all."""
+    """The response is not a list that the protocol allows."""
 
 
 Address = tuple[str, int]
@@ -23,73 +23,89 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """One backend of a list and the address on which it listens."""
+
     backend: Backend
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
+    """A full list, or the changes since an earlier generation."""
+
     kind: ListKind
     generation: int
     entries: tuple[Entry, ...]
 
     @property
     def is_full(self) -> bool:
+        """True where the list names all backends: those that it leaves out are removed."""
         return self.kind is not ListKind.CHANGES
 
 
 def read_address(text: str) -> Address:
+    """Parses HOST:PORT; an IPv6 host may stand in brackets. ValueError where it is not an address."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def read_addresses(told: Any) -> tuple[Address, ...]:
-    """One address, or several in a list or divided by commas; the first is preferred."""
-    texts = told.split(",") if isinstance(told, str) else list(told)
+def read_addresses(raw: Any) -> tuple[Address, ...]:
+    """Parses one address, or several in a list or separated by commas; the first is preferred.
+
+    ValueError where there is no address or one of them is malformed.
+    """
+    texts = raw.split(",") if isinstance(raw, str) else list(raw)
     if not texts:
         raise ValueError("no address")
     return tuple(dict.fromkeys(read_address(text.strip()) for text in texts))
 
 
 def value_or_default(entry: dict[str, Any], key: str, absent: Any) -> Any:
-    """A value that may be left out, or told as null."""
+    """The entry's value for `key`, or `absent` where it is missing or null."""
     value = entry.get(key)
     return absent if value is None else value
 
 
 def read_entry(entry: dict[str, Any]) -> Entry:
+    """Parses one entry of `instances`. KeyError, TypeError or ValueError where it is malformed."""
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
-    status = STATUSES.get(str(entry["lifecycle"]), BackendStatus.DRAINING)  # unknown: no work
+    status = STATUSES.get(str(entry["lifecycle"]), BackendStatus.DRAINING)  # unknown: gets no requests
     rating = float(value_or_default(entry, "weight", 1.0))
     if not (isfinite(started) and isfinite(rating)):
-        raise ValueError(f"no number: {entry['instanceId']} has weight {rating} and start {started}")
+        raise ValueError(f"not finite: {entry['instanceId']} has weight {rating} and start time {started}")
     backend = Backend(
         address=str(entry["instanceId"]), zone=str(value_or_default(entry, "zone", "")),
-        machine_type=str(value_or_default(entry, "machineType", "")), cell=int(value_or_default(entry, "cell", 0)), status=status,
+        machine_type=str(value_or_default(entry, "machineType", "")),
+        cell=int(value_or_default(entry, "cell", 0)), status=status,
         rating=rating, started_at=started or None,
     )
     host_port = entry.get("hostPort")
-    gone = status is not BackendStatus.SERVING and not host_port  # nothing is dialled there any more
-    return Entry(backend, ("", 0) if gone else read_address(str(host_port)))
+    # a backend that is not serving gets no new connections, so its address may be missing
+    without_address = status is not BackendStatus.SERVING and not host_port
+    return Entry(backend, ("", 0) if without_address else read_address(str(host_port)))
 
 
 def read_listing(loaded: Any, kind: ListKind | None = None) -> Listing:
-    """A list in discovery's form; BadList says what is wrong with it."""
+    """Converts a list that was loaded from JSON; `kind` overrides what its `reset` field says.
+
+    InvalidList where it is malformed. Entries with an unknown lifecycle count as draining.
+    """
     try:
         entries = tuple(read_entry(e) for e in loaded["instances"])
-        odd = [str(e["instanceId"]) for e in loaded["instances"] if e["lifecycle"] not in STATUSES]
-        if odd:
-            log.warning("%d entries in an unknown state are set aside: %s", len(odd), " ".join(odd[:5]))
-        told = kind or (ListKind.FULL if loaded["reset"] else ListKind.CHANGES)
-        return Listing(told, int(loaded["generation"]), entries)
+        unknown = [str(e["instanceId"]) for e in loaded["instances"] if e["lifecycle"] not in STATUSES]
+        if unknown:
+            log.warning(
+                "%d entries in an unknown state are set aside: %s", len(unknown), " ".join(unknown[:5]))
+        list_kind = kind or (ListKind.FULL if loaded["reset"] else ListKind.CHANGES)
+        return Listing(list_kind, int(loaded["generation"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise InvalidList(f"{type(error).__name__}: {error}") from error
 
 
 def parse_listing(body: bytes) -> Listing:
-    """What discovery answered; BadList says what is wrong with it."""
+    """Parses the body of a response; InvalidList where it is malformed."""
     try:
         return read_listing(json.loads(body))
     except (ValueError, RecursionError) as error:
