--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -1,4 +1,4 @@
-"""The quota counter, spoken to in RESP2: calls are pipelined and answered in the order they were written."""
+"""The client of the quota counter: RESP2, with pipelined calls that are answered in the order of writing."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 
 from embersill.interface import CounterCallEnded, Outcome
 
-CONNECTIONS = 4  # connections: names are dealt out over them, so that one slow part holds up fewer of the others
-SILENT_AFTER_TIMEOUTS = 10.0  # times the patience that the first in line may wait before its connection is given up
-TOTAL_PATTERN = re.compile(rb"[+-]?\d{1,30}(\.\d{0,30})?([eE][+-]?\d{1,3})?")  # float() takes more: nan, 1_0
-MAX_IDLE_TIME = 3.0  # seconds unused after which a line is opened anew: the counter closes idle ones unannounced
+CONNECTIONS = 4  # names are distributed over them, so that one slow reply delays fewer of the other calls
+SILENT_AFTER_TIMEOUTS = 10.0  # call timeouts that a call may wait until its connection is replaced
+# stricter than float(), which also accepts nan and 1_0
+TOTAL_PATTERN = re.compile(rb"[+-]?\d{1,30}(\.\d{0,30})?([eE][+-]?\d{1,3})?")
+MAX_IDLE_TIME = 3.0  # seconds until an unused connection is replaced: the counter closes idle ones silently
 
 
 class CounterCall:
-    """One call; told to the driver once, though its answer may come and take its place in line after that."""
+    """One call. Its end is reported once; its reply may still come later, and is then dropped in its turn."""
 
     __slots__ = ("name", "started_at", "ended", "timer")
 
-    def __init__(self, name: str, started: float) -> None:
-        self.name, self.started_at, self.ended = name, started, False
+    def __init__(self, name: str, started_at: float) -> None:
+        self.name, self.started_at, self.ended = name, started_at, False
         self.timer: asyncio.TimerHandle | None = None
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection, with the calls that wait to be written and those that wait for their answers."""
+    """One connection, with the calls still to be written and those that wait for their replies."""
 
     def __init__(self, counter: Counter) -> None:
         self.counter = counter
@@ -41,14 +42,14 @@
         self.reader = hiredis.Reader()
         self.last_used_at = counter.clock()
         self.write_pending = self.is_closed = False
-        self.reply_incomplete = False  # a reply has begun that is not complete
+        self.reply_incomplete = False  # a part of a reply has arrived
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        self.transport.set_write_buffer_limits(high=0)  # pause_writing then tells that a call is not written
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
+        self.transport.set_write_buffer_limits(high=0)  # so that pause_writing means: a call is not written
         waiting, self.unwritten = self.unwritten, []
         for call, text in waiting:
-            if not call.ended:  # one that was given up while the line came up stays unwritten
+            if not call.ended:  # one that timed out while connecting is not written
                 self.write(call, text)
 
     def pause_writing(self) -> None:
@@ -58,6 +59,7 @@
         self.write_pending = False
 
     def send(self, call: CounterCall, text: bytes) -> None:
+        """Writes a call, or queues it until the connection is open."""
         self.last_used_at = call.started_at
         if self.transport is None:
             self.unwritten.append((call, text))
@@ -70,7 +72,7 @@
         self.transport.write(text)
 
     def is_usable(self, now: float) -> bool:
-        """False where the next call should go over a new connection: it died, fell silent or stood idle."""
+        """False where the next call needs a new connection: this one is closed, silent or too long idle."""
         if self.is_closed or self.transport is not None and self.transport.is_closing():
             return False
         if self.written:
@@ -83,12 +85,13 @@
         try:
             while (reply := self.reader.gets()) is not False:
                 if not self.written:
-                    return self.close()  # an answer to nothing: what follows can't be matched either
+                    return self.close()  # a reply without a call: later replies can't be matched either
                 self.reply_incomplete = self.reader.has_data()
                 outcome, total = read_reply(reply)
                 self.counter.end_call(self.written.popleft(), outcome, total)
                 if outcome is Outcome.TIMED_OUT:
-                    return self.close()  # by the terms, a connection that gave no number is of no further use
+                    # the counter's protocol: after a reply without a number a connection is of no further use
+                    return self.close()
         except hiredis.ProtocolError:
             self.close()
 
@@ -104,100 +107,114 @@
         self.fail_calls()
 
     def fail_calls(self) -> None:
-        """Tells what can be told of the calls left: the unwritten added nothing, the others may have."""
+        """Ends the remaining calls: those not written added nothing (NO_CONNECTION), the others may have."""
         self.is_closed = True
-        unsent = self.written.pop() if self.write_pending and self.written else None
-        while self.written:  # in their order: the module knows a call by its name and its place among them
+        partly_written = self.written.pop() if self.write_pending and self.written else None
+        while self.written:  # in order: the decision module matches results to calls of a name by their order
             self.counter.end_call(self.written.popleft(), Outcome.TIMED_OUT, 0.0)
-        if unsent is not None:
-            self.counter.end_call(unsent, Outcome.NO_CONNECTION, 0.0)
+        if partly_written is not None:
+            self.counter.end_call(partly_written, Outcome.NO_CONNECTION, 0.0)
         for call, _ in self.unwritten:
             self.counter.end_call(call, Outcome.NO_CONNECTION, 0.0)
         self.unwritten = []
 
 
 def read_reply(reply: object) -> tuple[Outcome, float]:
-    """A reply as outcome and total. The module takes all but a time-out as proof that nothing was added."""
+    """Converts a reply to its outcome and total.
+
+    The decision module takes every outcome but SERVED and TIMED_OUT as proof that nothing was added.
+    """
     if isinstance(reply, hiredis.ReplyError):
         kind = str(reply).partition(" ")[0]
-        known = {"BUSY": Outcome.REJECTED, "ERR": Outcome.ERROR}
-        return known.get(kind, Outcome.TIMED_OUT), 0.0
+        outcomes = {"BUSY": Outcome.REJECTED, "ERR": Outcome.ERROR}
+        return outcomes.get(kind, Outcome.TIMED_OUT), 0.0
     text = b"%d" % reply if isinstance(reply, int) and not isinstance(reply, bool) else reply
     if isinstance(text, bytes) and TOTAL_PATTERN.fullmatch(text) and math.isfinite(total := float(text)):
         return Outcome.SERVED, total
-    return Outcome.TIMED_OUT, 0.0  # neither a total nor an error: it may have been added
+    return Outcome.TIMED_OUT, 0.0  # neither a total nor an error: the amount may have been added
 
 
 class CounterClient(Protocol):
-    """What makes counter calls: the counter's own client, or one that divides them over aggregators."""
+    """Makes counter calls: a client of the counter itself, or one that distributes them over aggregators."""
 
-    def add(self, name: str, amount: float, forget_after: float) -> None: ...
+    def add(self, name: str, amount: float, expire_after: float) -> None:
+        """Starts a call that adds `amount` units to `name`, which may be dropped `expire_after` s later."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes all connections."""
+        ...
 
 
 class Counter:
-    """The calls of one gateway. `told` hears of each exactly once, at its patience's end at the latest."""
+    """The counter calls of one gateway; `on_result` is called once for each, at its timeout at the latest."""
 
     def __init__(
-        self, clock: Callable[[], float], address: tuple[str, int], patience: float, dial_timeout: float,
-        told: Callable[[CounterCallEnded], None], lines: int = CONNECTIONS,
+        self, clock: Callable[[], float], address: tuple[str, int], timeout: float, dial_timeout: float,
+        on_result: Callable[[CounterCallEnded], None], connections: int = CONNECTIONS,
     ) -> None:
-        self.clock, self.address, self.timeout, self.on_result = clock, address, patience, told
+        """`timeout`: seconds for a call; `dial_timeout`: seconds for opening a connection."""
+        self.clock, self.address, self.timeout, self.on_result = clock, address, timeout, on_result
         self.dial_timeout = dial_timeout
         self.loop = asyncio.get_running_loop()
-        self.connections: list[CounterConnection | None] = [None] * lines
-        self.former_connections: list[CounterConnection] = []  # at the address before: they only wait for their answers
+        self.connections: list[CounterConnection | None] = [None] * connections
+        self.former_connections: list[CounterConnection] = []  # to previous addresses: they get no new calls
         self.connect_tasks: set[asyncio.Task[None]] = set()
 
-    def add(self, name: str, amount: float, forget_after: float) -> None:
+    def add(self, name: str, amount: float, expire_after: float) -> None:
+        """Starts a call; its result goes to `on_result`."""
         now = self.clock()
         call = CounterCall(name, now)
         call.timer = self.loop.call_later(self.timeout, self.time_out, call)
-        # by customer: calls for one name keep their order, and so do the names of one customer
-        place = zlib.crc32(name.partition(".")[0].encode()) % len(self.connections)
-        line = self.connections[place]
-        if line is None or not line.is_usable(now):
-            if line is not None:
-                line.close()
-            line = self.connections[place] = CounterConnection(self)
-            task = self.loop.create_task(self.connect(line))
+        # by customer: the calls for one name stay in order, and so do those for the names of one customer
+        index = zlib.crc32(name.partition(".")[0].encode()) % len(self.connections)
+        connection = self.connections[index]
+        if connection is None or not connection.is_usable(now):
+            if connection is not None:
+                connection.close()
+            connection = self.connections[index] = CounterConnection(self)
+            task = self.loop.create_task(self.connect(connection))
             self.connect_tasks.add(task)
             task.add_done_callback(self.connect_tasks.discard)
-        words = ("CNT.ADD", name, f"{amount:.9g}", str(max(1, round(forget_after * 1000))))
-        line.send(call, hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub takes one word only
+        words = ("CNT.ADD", name, f"{amount:.9g}", str(max(1, round(expire_after * 1000))))
+        connection.send(call, hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub allows one word
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Calls go to another address from now on; those that are out may still be answered at the old."""
+        """Sends further calls to another address; pending ones may still be answered by the previous one."""
         if address == self.address:
             return
         self.address = address
-        left = [line for line in self.connections if line is not None]
+        former = [connection for connection in self.connections if connection is not None]
         self.connections = [None] * len(self.connections)
-        self.former_connections += left
-        self.loop.call_later(self.timeout, self.close_former, left)
+        self.former_connections += former
+        self.loop.call_later(self.timeout, self.close_former, former)
 
-    def close_former(self, lines: list[CounterConnection]) -> None:
-        for line in lines:
-            line.close()
-            self.former_connections.remove(line)
+    def close_former(self, connections: list[CounterConnection]) -> None:
+        """Closes connections to a previous address, whose calls have all ended or timed out."""
+        for connection in connections:
+            connection.close()
+            self.former_connections.remove(connection)
 
-    async def connect(self, line: CounterConnection) -> None:
+    async def connect(self, connection: CounterConnection) -> None:
         try:
             async with asyncio.timeout(self.dial_timeout):
-                await self.loop.create_connection(lambda: line, *self.address)
+                await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            line.fail_calls()
-        if line.is_closed:
-            line.close()  # it was given up while it came up
+            connection.fail_calls()
+        if connection.is_closed:
+            connection.close()  # it was replaced while it was connecting
 
     def time_out(self, call: CounterCall) -> None:
-        line = next((x for x in (*self.connections, *self.former_connections) if x is not None and call in x.written), None)
-        self.end_call(call, Outcome.NO_CONNECTION if line is None else Outcome.TIMED_OUT, 0.0)
-        if line is not None and line.reply_incomplete:
-            line.close()  # the rest of a broken reply would swallow the answers behind it
+        """Ends a call without a reply; one that was never written added nothing."""
+        connection = next((
+            c for c in (*self.connections, *self.former_connections) if c is not None and call in c.written
+        ), None)
+        self.end_call(call, Outcome.NO_CONNECTION if connection is None else Outcome.TIMED_OUT, 0.0)
+        if connection is not None and connection.reply_incomplete:
+            connection.close()  # the rest of a broken reply would be parsed as a part of the following ones
 
     def end_call(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+        """Reports the end of a call; does nothing where it was reported before."""
         if call.ended:
             return
         call.ended = True
@@ -206,8 +223,8 @@
         self.on_result(CounterCallEnded(call.name, outcome, self.clock() - call.started_at, total))
 
     def close(self) -> None:
-        for line in (*self.connections, *self.former_connections):
-            if line is not None:
-                line.close()
+        for connection in (*self.connections, *self.former_connections):
+            if connection is not None:
+                connection.close()
         for task in self.connect_tasks:
             task.cancel()
--- a/embersill/net/pool.py
+++ b/embersill/net/pool.py
@@ -1,7 +1,7 @@
-"""The connections to backends: which there are, in what state, and who waits for one.
+"""The pool of connections to backends: their states, and the attempts that wait for one.
 
-Free of sockets and of the loop: a Link carries out what the pool tells it, and tells what became of it. Which
-backend gets an attempt, and how many connections it is worth, the decision module says.
+It uses neither sockets nor the event loop: a PooledConnection carries out what the pool asks for, and reports
+what became of it. The decision module chooses the backend of an attempt and the size of each backend's pool.
 """
 
 from __future__ import annotations
@@ -16,64 +16,74 @@
 
 from embersill.interface import Outcome, PoolSettings
 
-IDLE_DECREASE, IDLE_INCREASE = 0.5, 1.25  # times an idle time that broke, or that was borne: what is tried next
-MIN_IDLE_TIME = 0.02  # seconds for which one is kept in any case: work that comes back to back needs them
-STALE_BREAK_WITHIN = 0.01  # seconds after the write in which a kept connection that was dead already breaks
-ALIVE_FOR = 2.0  # seconds since it was heard from for which a backend counts as alive: a failed open is then
-# its full table's; dials end within a fraction of that
+# factors on an idle time that a connection did not survive, or did: the limit that is tried next
+IDLE_DECREASE, IDLE_INCREASE = 0.5, 1.25
+MIN_IDLE_TIME = 0.02  # seconds for which an idle connection is kept in any case, for attempts in quick succession
+STALE_BREAK_WITHIN = 0.01  # seconds after a write within which a connection breaks that was dead before it
+# seconds for which a backend counts as alive after its last answer: a failed open then means that its connection
+# table is full. Opens take only a fraction of this
+ALIVE_FOR = 2.0
 DEFAULT_MARGIN = PoolSettings().margin
-MAX_MARGIN_SHARE = 0.25  # of the backends' idle limit, at most, that the usual margin before it may take
-AGE_SPREAD = 0.2  # of the max age, either way, by which connections that were opened together end apart
+MAX_MARGIN_SHARE = 0.25  # of the backends' idle limit that the default margin before it may take
+AGE_SPREAD = 0.2  # relative deviation from max_age, so that connections opened together are not closed together
 
 Address = tuple[str, int]
 
 
 class ConnectionState(Enum):
+    """What a connection is doing."""
+
     OPENING = "opening"
     IDLE = "idle"
     IN_USE = "in use"
-    RETIRING = "retiring"  # in use, and closed after its answer
+    RETIRING = "retiring"  # in use, and to be closed after its answer
     CLOSED = "closed"
 
 
 class OpenFailure(Enum):
-    """Why a connection did not come up."""
+    """Why a connection could not be opened."""
 
     REFUSED = "refused"
     TIMED_OUT = "silent"
-    LOCAL = "no descriptor"  # here: it tells nothing of the backend
+    LOCAL = "no descriptor"  # the fault is in this process or host, not at the backend
 
 
 class Waiter(Protocol):
-    """An attempt, as the pool sees it."""
+    """An attempt, as far as the pool is concerned."""
 
     backend: str
     until: float
     sent_at: float
 
-    def lost(self, outcome: Outcome) -> None: ...
+    def lost(self, outcome: Outcome) -> None:
+        """Ends an attempt that gets no connection."""
+        ...
 
 
 class PooledConnection:
-    """One connection, as the pool sees it. `ended` of the pool is called once it holds no descriptor."""
+    """One connection, as far as the pool is concerned.
+
+    It calls the pool's `connection_closed` once it holds no descriptor any more.
+    """
 
     def __init__(self, backend: str) -> None:
         self.backend, self.state = backend, ConnectionState.OPENING
         self.idle_since = 0.0
-        self.idle_time = 0.0  # seconds it had stood idle when it was last taken
+        self.idle_time = 0.0  # seconds that it had been idle when it was last taken
         self.reused = False
-        self.in_reuse_delay = False  # its answer is there, and it may not be used yet
+        self.in_reuse_delay = False  # answered, but not to be used again yet
         self.retire_at = float("inf")
 
     def send(self, attempt: Waiter, wait: float) -> None:
+        """Writes an attempt; `wait`: seconds that the backend has for it."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Closes it, or stops its opening."""
+        """Closes the connection, or cancels its opening."""
         raise NotImplementedError
 
     def is_reusable(self) -> bool:
-        """True while it is up and holds nothing unread."""
+        """True while it is open and has no unread bytes."""
         raise NotImplementedError
 
 
@@ -82,376 +92,398 @@
 
 @dataclass(slots=True, eq=False)
 class BackendPool:
-    """All that concerns one backend."""
+    """The connections to one backend and the attempts that wait for one."""
 
     address: Address | None = None
     started_at: float | None = None
-    idle: list[PooledConnection] = field(default_factory=list)  # the one used last stands last
+    idle: list[PooledConnection] = field(default_factory=list)  # the one used last is at the end
     opening: list[PooledConnection] = field(default_factory=list)
     in_use: set[PooledConnection] = field(default_factory=set)
-    in_reuse_delay: int = 0  # of these, that will be free in a moment
+    in_reuse_delay: int = 0  # number of those in use that will be free in a moment
     waiting: deque[Waiter] = field(default_factory=deque)
-    proven_idle_time: float = float("inf")  # idle time that connections there were found to bear
-    last_response_at: float = float("-inf")  # when an answer last came from there
-    max_idle: float = float("inf")  # idle ones, at the most
-    max_connections: float = float("inf")  # of all kinds
-    max_idle_time: float = float("inf")  # seconds that one is kept idle
+    proven_idle_time: float = float("inf")  # seconds of idleness that connections there survived
+    last_response_at: float = float("-inf")  # when the last answer arrived
+    max_idle: float = float("inf")  # limit on idle connections
+    max_connections: float = float("inf")  # limit on connections in all states
+    max_idle_time: float = float("inf")  # seconds until an idle connection is closed
 
     def size(self) -> int:
         return len(self.idle) + len(self.opening) + len(self.in_use)
 
 
 class Pool:
-    """All connections to backends, at most `most` of them."""
+    """All connections to backends, at most `max_connections` of them."""
 
     def __init__(
-        self, clock: Callable[[], float], opener: Opener, most: int, keepalive: float,
+        self, clock: Callable[[], float], opener: Opener, max_connections: int, keepalive: float,
         settings: PoolSettings, seed: int = 0,
     ) -> None:
-        """`keepalive`: seconds after which a backend closes an idle connection at the latest."""
-        self.clock, self.opener, self.max_connections, self.keepalive = clock, opener, most, keepalive
+        """`keepalive`: seconds after which backends close idle connections."""
+        self.clock, self.opener, self.max_connections, self.keepalive = (
+            clock, opener, max_connections, keepalive)
         self.settings, self.random = settings, Random(seed)
         self.backends: dict[str, BackendPool] = {}
         self.connections: set[PooledConnection] = set()  # all that may hold a descriptor
-        self.idle_connections: dict[PooledConnection, BackendPool] = {}  # the one that has been idle for longest stands first
-        self.in_reuse_delay = 0  # in use, and free in a moment
-        self.opening = 0  # opens under way
-        self.backends_waiting: dict[str, None] = {}  # backends whose line waits for leave to open, first come
-        self.held_by_predecessor = 0  # connections of the process before, which count under the same bound
-        self.keeps_idle = True  # connections are kept for the next attempt
+        self.idle_connections: dict[PooledConnection, BackendPool] = {}  # the one idle for longest comes first
+        self.in_reuse_delay = 0  # number of those in use that will be free in a moment
+        self.opening = 0  # number being opened
+        self.backends_waiting: dict[str, None] = {}  # those with attempts for which no open may start yet, in order
+        self.held_by_predecessor = 0  # the predecessor's connections, which count under the same limit
+        self.keeps_idle = True  # idle connections are kept for further attempts
         self.figures: Tally[str] = Tally()
-        self.on_open_failed: Callable[[str, int], None] = lambda backend, up: None
-        self.on_close: Callable[[str, str], None] = lambda backend, reason: None  # told of every close here
+        # called with a backend that is alive but refuses connections, and the number that are open to it
+        self.on_open_failed: Callable[[str, int], None] = lambda backend, open_connections: None
+        self.on_close: Callable[[str, str], None] = lambda backend, reason: None  # called for every close from here
 
-    def idle_limit(self, place: BackendPool) -> float:
+    def idle_limit(self, backend_pool: BackendPool) -> float:
+        """Seconds for which connections to a backend may be idle."""
         margin = self.settings.margin
-        if margin == DEFAULT_MARGIN:  # staff who name another one know their backends' limit
+        if margin == DEFAULT_MARGIN:  # operators who configure another one know their backends' limit
             margin = min(margin, MAX_MARGIN_SHARE * self.keepalive)
-        return max(min(self.keepalive - margin, place.max_idle_time), MIN_IDLE_TIME)
+        return max(min(self.keepalive - margin, backend_pool.max_idle_time), MIN_IDLE_TIME)
 
-    # what the list and the module say
+    # instructions from the backend list and the decision module
 
-    def set_address(self, backend: str, address: Address, started: float | None = None) -> None:
-        """Where a backend listens; connections to where it was, or to before its restart, are of no use."""
-        place = self.backends.setdefault(backend, BackendPool())
-        if (place.address, place.started_at) == (address, started):
+    def set_address(self, backend: str, address: Address, started_at: float | None = None) -> None:
+        """Sets where a backend listens; connections to its previous address or process are closed."""
+        backend_pool = self.backends.setdefault(backend, BackendPool())
+        if (backend_pool.address, backend_pool.started_at) == (address, started_at):
             return
-        self.clear(place, "moved")
-        place.address, place.started_at = address, started
-        place.proven_idle_time = place.max_connections = place.max_idle = place.max_idle_time = float("inf")
-        place.last_response_at = float("-inf")
-        self.open_for(backend, place)
+        self.close_or_retire_all(backend_pool, "moved")
+        backend_pool.address, backend_pool.started_at = address, started_at
+        backend_pool.proven_idle_time = backend_pool.max_connections = backend_pool.max_idle = backend_pool.max_idle_time = float("inf")
+        backend_pool.last_response_at = float("-inf")
+        self.open_for(backend, backend_pool)
 
     def retire(self, backend: str) -> None:
-        """For one that drains or is gone: nothing is written to it from now on, not even what waits.
+        """For a draining or removed backend: nothing is written to it from now on, not even waiting attempts.
 
-        Attempts that are out go on to their ends, and their connections are closed after them.
+        Attempts in flight go on to their ends, and their connections are closed after them.
         """
-        place = self.backends.get(backend)
-        if place is not None:
-            place.address = None
+        backend_pool = self.backends.get(backend)
+        if backend_pool is not None:
+            backend_pool.address = None
             self.close_unused(backend)
-            self.drop_unused(backend, place)
+            self.drop_unused(backend, backend_pool)
 
     def close_unused(self, backend: str) -> None:
-        """Closes what is idle to a backend or being opened, and ends what waits for it."""
-        place = self.backends.get(backend)
-        if place is not None:
-            self.clear(place, "hung up")
-            while place.waiting:
-                place.waiting.popleft().lost(Outcome.NO_CONNECTION)
+        """Closes the idle connections to a backend and those being opened, and ends the attempts that wait for it."""
+        backend_pool = self.backends.get(backend)
+        if backend_pool is not None:
+            self.close_or_retire_all(backend_pool, "hung up")
+            while backend_pool.waiting:
+                backend_pool.waiting.popleft().lost(Outcome.NO_CONNECTION)
 
     def retire_unlisted(self, known: Iterable[str]) -> None:
-        """After a whole list: what it does not name is gone."""
+        """After a full list: retires the backends that it does not name."""
         known = set(known)
         for backend in [b for b in self.backends if b not in known]:
             self.retire(backend)
 
-    def set_size(self, backend: str, keep: float, most: float, idle_for: float) -> None:
-        place = self.backends.get(backend)
-        if place is not None:
-            place.max_idle, place.max_connections, place.max_idle_time = keep, most, idle_for
-            while len(place.idle) > keep:
-                self.close_unassigned(place, place.idle[0], "surplus")
-            self.open_for(backend, place)
-
-    def preconnect(self, backend: str, many: int) -> None:
-        """Opens ahead, until so many are idle or being opened."""
-        place = self.backends.get(backend)
-        while place is not None and len(place.idle) + len(place.opening) < many and self.may_open(place):
+    def set_size(self, backend: str, max_idle: float, max_connections: float, max_idle_time: float) -> None:
+        """Limits the idle connections, all connections, and the seconds of idleness."""
+        backend_pool = self.backends.get(backend)
+        if backend_pool is not None:
+            backend_pool.max_idle, backend_pool.max_connections, backend_pool.max_idle_time = (
+                max_idle, max_connections, max_idle_time)
+            while len(backend_pool.idle) > max_idle:
+                self.close_unassigned(backend_pool, backend_pool.idle[0], "surplus")
+            self.open_for(backend, backend_pool)
+
+    def preconnect(self, backend: str, count: int) -> None:
+        """Opens connections until `count` of them are idle or being opened."""
+        backend_pool = self.backends.get(backend)
+        while backend_pool is not None and len(backend_pool.idle) + len(backend_pool.opening) < count and self.may_open(backend_pool):
             self.figures["pool warmed"] += 1
-            self.open(backend, place)
+            self.open(backend, backend_pool)
 
     def stop_keeping_idle(self) -> None:
-        """From now on connections are closed after their attempts: a successor needs the descriptors."""
+        """Closes connections after their attempts from now on: a successor needs the descriptors."""
         self.keeps_idle = False
-        for link, place in list(self.idle_connections.items()):
-            self.close_unassigned(place, link, "handed over")
+        for connection, backend_pool in list(self.idle_connections.items()):
+            self.close_unassigned(backend_pool, connection, "handed over")
 
     def drop_idle(self, backend: str) -> None:
-        """After an attempt that got no answer: a machine that is cut off leaves its connections silent."""
-        place = self.backends.get(backend)
-        while place is not None and place.idle:
-            self.close_unassigned(place, place.idle[0], "silent")
+        """After an attempt timed out: connections to a machine that lost its network stay open but silent."""
+        backend_pool = self.backends.get(backend)
+        while backend_pool is not None and backend_pool.idle:
+            self.close_unassigned(backend_pool, backend_pool.idle[0], "silent")
 
     # attempts
 
     def start(self, attempt: Waiter) -> None:
-        """Gives an attempt its connection, now or once one is there."""
-        place = self.backends.get(attempt.backend)
-        if place is None or place.address is None:
+        """Assigns a connection to an attempt, now or once there is one."""
+        backend_pool = self.backends.get(attempt.backend)
+        if backend_pool is None or backend_pool.address is None:
             return attempt.lost(Outcome.NO_CONNECTION)
-        link = self.take_reusable(place)
-        if link is not None:
-            return self.assign(place, link, attempt)
-        place.waiting.append(attempt)
-        self.open_for(attempt.backend, place)
-        return self.fail_unservable(place)
+        connection = self.take_reusable(backend_pool)
+        if connection is not None:
+            return self.assign(backend_pool, connection, attempt)
+        backend_pool.waiting.append(attempt)
+        self.open_for(attempt.backend, backend_pool)
+        return self.fail_unservable(backend_pool)
 
     def withdraw(self, attempt: Waiter) -> None:
-        """An attempt waits no more. What is being opened goes on: it serves the next, or is kept."""
-        place = self.backends.get(attempt.backend)
-        if place is not None and attempt in place.waiting:
-            place.waiting.remove(attempt)
-            if not place.waiting:
+        """Removes a waiting attempt; connections being opened go on, for other attempts or as idle ones."""
+        backend_pool = self.backends.get(attempt.backend)
+        if backend_pool is not None and attempt in backend_pool.waiting:
+            backend_pool.waiting.remove(attempt)
+            if not backend_pool.waiting:
                 self.backends_waiting.pop(attempt.backend, None)
 
     def why_waiting(self, attempt: Waiter) -> Outcome:
-        """For one whose time ran out in line: whether its backend did not come up, or there was no room."""
-        place = self.backends.get(attempt.backend)
-        return Outcome.NO_CONNECTION if place is not None and place.opening else Outcome.NOT_SENT
+        """The outcome of an attempt that timed out in the queue.
 
-    def take_reusable(self, place: BackendPool) -> PooledConnection | None:
+        NO_CONNECTION while connections to its backend are being opened, else NOT_SENT: no slot was free.
+        """
+        backend_pool = self.backends.get(attempt.backend)
+        return Outcome.NO_CONNECTION if backend_pool is not None and backend_pool.opening else Outcome.NOT_SENT
+
+    def take_reusable(self, backend_pool: BackendPool) -> PooledConnection | None:
+        """The idle connection used last; those found too old or unusable on the way are closed."""
         now = self.clock()
-        while place.idle:
-            link = place.idle[-1]
-            link.idle_time = now - link.idle_since
-            if link.idle_time >= min(place.proven_idle_time, self.idle_limit(place)) or now >= link.retire_at:
-                self.close_unassigned(place, link, "aged")
-            elif not link.is_reusable():
-                self.close_unassigned(place, link, "stale")
+        while backend_pool.idle:
+            connection = backend_pool.idle[-1]
+            connection.idle_time = now - connection.idle_since
+            if connection.idle_time >= min(backend_pool.proven_idle_time, self.idle_limit(backend_pool)) or now >= connection.retire_at:
+                self.close_unassigned(backend_pool, connection, "aged")
+            elif not connection.is_reusable():
+                self.close_unassigned(backend_pool, connection, "stale")
             else:
-                self.remove_idle(place, link)
-                return link
+                self.remove_idle(backend_pool, connection)
+                return connection
         return None
 
-    def assign(self, place: BackendPool, link: PooledConnection, attempt: Waiter) -> None:
+    def assign(self, backend_pool: BackendPool, connection: PooledConnection, attempt: Waiter) -> None:
+        """Sends an attempt on a connection."""
         now = self.clock()
-        self.figures["pool reused"] += link.reused
-        link.state = ConnectionState.IN_USE
-        place.in_use.add(link)
-        link.send(attempt, max(attempt.until - now, 0.001))
-        link.reused = True
+        self.figures["pool reused"] += connection.reused
+        connection.state = ConnectionState.IN_USE
+        backend_pool.in_use.add(connection)
+        connection.send(attempt, max(attempt.until - now, 0.001))
+        connection.reused = True
 
     # opening
 
-    def open_for(self, backend: str, place: BackendPool) -> None:
-        """As many opens as there are attempts in line, as far as the bounds allow."""
-        while len(place.opening) + place.in_reuse_delay < len(place.waiting) and self.may_open(place):
-            self.open(backend, place)
-        if len(place.opening) + place.in_reuse_delay < len(place.waiting) and self.at_opening_limit(place):
+    def open_for(self, backend: str, backend_pool: BackendPool) -> None:
+        """Opens a connection for each waiting attempt that needs one, as far as the limits allow."""
+        while len(backend_pool.opening) + backend_pool.in_reuse_delay < len(backend_pool.waiting) and self.may_open(backend_pool):
+            self.open(backend, backend_pool)
+        if len(backend_pool.opening) + backend_pool.in_reuse_delay < len(backend_pool.waiting) and self.at_opening_limit(backend_pool):
             self.backends_waiting[backend] = None
         else:
             self.backends_waiting.pop(backend, None)
 
-    def may_open(self, place: BackendPool) -> bool:
-        if place.address is None or self.at_opening_limit(place) or place.size() >= place.max_connections:
+    def may_open(self, backend_pool: BackendPool) -> bool:
+        """True where one more may be opened, if need be after closing an idle one of any backend."""
+        if backend_pool.address is None or self.at_opening_limit(backend_pool) or backend_pool.size() >= backend_pool.max_connections:
             return False
         return len(self.connections) + self.held_by_predecessor < self.max_connections or self.evict()
 
-    def at_opening_limit(self, place: BackendPool) -> bool:
-        """True while the bounds on opens at once are reached: that ends by itself, and soon."""
-        return self.opening >= self.settings.opening or len(place.opening) >= self.settings.opening_each
+    def at_opening_limit(self, backend_pool: BackendPool) -> bool:
+        """True while as many opens are under way as are allowed at once, which does not last long."""
+        return self.opening >= self.settings.opening or len(backend_pool.opening) >= self.settings.opening_each
 
     def evict(self) -> bool:
-        """The connection that has been idle for longest makes way; False where there is none."""
-        link = next(iter(self.idle_connections), None)
-        if link is None:
+        """Closes the connection that has been idle for longest; False where none is idle."""
+        connection = next(iter(self.idle_connections), None)
+        if connection is None:
             return False
-        self.close_unassigned(self.idle_connections[link], link, "made way")
+        self.close_unassigned(self.idle_connections[connection], connection, "made way")
         return True
 
-    def remove_idle(self, place: BackendPool, link: PooledConnection) -> None:
-        """It is idle no more."""
-        place.idle.remove(link)
-        del self.idle_connections[link]
+    def remove_idle(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+        """Removes a connection from the idle ones."""
+        backend_pool.idle.remove(connection)
+        del self.idle_connections[connection]
 
-    def open(self, backend: str, place: BackendPool) -> None:
-        assert place.address is not None
-        link = self.opener(backend, place.address)
-        place.opening.append(link)
+    def open(self, backend: str, backend_pool: BackendPool) -> None:
+        """Starts to open a connection."""
+        assert backend_pool.address is not None
+        connection = self.opener(backend, backend_pool.address)
+        backend_pool.opening.append(connection)
         self.opening += 1
-        self.connections.add(link)
+        self.connections.add(connection)
 
-    def remove_opening(self, place: BackendPool, link: PooledConnection) -> None:
-        """Its opening is over, one way or another."""
-        place.opening.remove(link)
+    def remove_opening(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+        """Removes a connection from those being opened, which it succeeded or failed."""
+        backend_pool.opening.remove(connection)
         self.opening -= 1
 
-    def opening_succeeded(self, link: PooledConnection) -> None:
-        place = self.backends.get(link.backend)
-        if place is None or link not in place.opening:
-            return link.abort()
-        self.remove_opening(place, link)
+    def opening_succeeded(self, connection: PooledConnection) -> None:
+        """A connection is open: it is assigned or kept."""
+        backend_pool = self.backends.get(connection.backend)
+        if backend_pool is None or connection not in backend_pool.opening:
+            return connection.abort()
+        self.remove_opening(backend_pool, connection)
         self.figures["pool opened"] += 1
         if self.settings.max_age > 0:
             spread = 1.0 + AGE_SPREAD * (2.0 * self.random.random() - 1.0)
-            link.retire_at = self.clock() + spread * self.settings.max_age
-        self.assign_or_keep(place, link)
+            connection.retire_at = self.clock() + spread * self.settings.max_age
+        self.assign_or_keep(backend_pool, connection)
         return self.open_for_waiting()
 
-    def assign_or_keep(self, place: BackendPool, link: PooledConnection) -> None:
-        """To the first in line, or to what is kept."""
+    def assign_or_keep(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+        """Assigns a free connection to the attempt that waits longest, or keeps it idle."""
         now = self.clock()
-        if place.waiting:
-            attempt = place.waiting.popleft()
+        if backend_pool.waiting:
+            attempt = backend_pool.waiting.popleft()
             self.figures["pool waited"] += 1
             self.figures["pool waited ms"] += round(1000 * (now - attempt.sent_at))
-            link.idle_time = 0.0
-            return self.assign(place, link, attempt)
-        link.state, link.idle_since = ConnectionState.IDLE, now
-        place.idle.append(link)
-        self.idle_connections[link] = place
-        while len(place.idle) > place.max_idle or place.idle and not self.keeps_idle:
-            self.close_unassigned(place, place.idle[0], "surplus")
+            connection.idle_time = 0.0
+            return self.assign(backend_pool, connection, attempt)
+        connection.state, connection.idle_since = ConnectionState.IDLE, now
+        backend_pool.idle.append(connection)
+        self.idle_connections[connection] = backend_pool
+        while len(backend_pool.idle) > backend_pool.max_idle or backend_pool.idle and not self.keeps_idle:
+            self.close_unassigned(backend_pool, backend_pool.idle[0], "surplus")
         return None
 
-    def opening_failed(self, link: PooledConnection, failure: OpenFailure) -> None:
-        """It did not come up. One attempt goes without, unless enough other opens are under way."""
-        place = self.backends.get(link.backend)
-        if place is None or link not in place.opening:
-            return None  # nobody waits for it: it was stopped
-        self.remove_opening(place, link)
-        link.state = ConnectionState.CLOSED
+    def opening_failed(self, connection: PooledConnection, failure: OpenFailure) -> None:
+        """An open failed: the first waiting attempt fails too, unless enough other opens are under way."""
+        backend_pool = self.backends.get(connection.backend)
+        if backend_pool is None or connection not in backend_pool.opening:
+            return None  # it was cancelled: no attempt waits for it
+        self.remove_opening(backend_pool, connection)
+        connection.state = ConnectionState.CLOSED
         self.figures[f"pool open {failure.value}"] += 1
-        if failure is OpenFailure.LOCAL and place.waiting and self.evict():
-            return self.open_for(link.backend, place)
-        up = len(place.idle) + len(place.in_use)
-        if failure is not OpenFailure.LOCAL and up and self.clock() - place.last_response_at < ALIVE_FOR:
-            self.on_open_failed(link.backend, up)
-        if len(place.waiting) > len(place.opening):
+        if failure is OpenFailure.LOCAL and backend_pool.waiting and self.evict():
+            return self.open_for(connection.backend, backend_pool)
+        open_connections = len(backend_pool.idle) + len(backend_pool.in_use)
+        if failure is not OpenFailure.LOCAL and open_connections and self.clock() - backend_pool.last_response_at < ALIVE_FOR:
+            self.on_open_failed(connection.backend, open_connections)
+        if len(backend_pool.waiting) > len(backend_pool.opening):
             local = failure is OpenFailure.LOCAL
-            place.waiting.popleft().lost(Outcome.NOT_SENT if local else Outcome.NO_CONNECTION)
-        self.open_for(link.backend, place)
+            backend_pool.waiting.popleft().lost(Outcome.NOT_SENT if local else Outcome.NO_CONNECTION)
+        self.open_for(connection.backend, backend_pool)
         return self.open_for_waiting()
 
     def open_for_waiting(self) -> None:
-        """There may be leave to open for those who wait for it, first come."""
+        """Opens connections for the backends that wait for permission to open, in their order."""
         for backend in list(self.backends_waiting):
-            place = self.backends.get(backend)
-            if place is not None:
-                self.open_for(backend, place)
-
-    # what connections tell
-
-    def start_reuse_delay(self, link: PooledConnection) -> None:
-        """After a whole, clean answer: it will be put back in a moment, if nothing more comes on it."""
-        place = self.backends.get(link.backend)
-        if place is not None and link in place.in_use:
-            link.in_reuse_delay = True
-            place.in_reuse_delay += 1
+            backend_pool = self.backends.get(backend)
+            if backend_pool is not None:
+                self.open_for(backend, backend_pool)
+
+    # reports of connections
+
+    def start_reuse_delay(self, connection: PooledConnection) -> None:
+        """After a complete and correct answer: the connection is released a moment later, if nothing more arrives."""
+        backend_pool = self.backends.get(connection.backend)
+        if backend_pool is not None and connection in backend_pool.in_use:
+            connection.in_reuse_delay = True
+            backend_pool.in_reuse_delay += 1
             self.in_reuse_delay += 1
 
-    def end_reuse_delay(self, place: BackendPool, link: PooledConnection) -> None:
-        place.in_reuse_delay -= link.in_reuse_delay
-        self.in_reuse_delay -= link.in_reuse_delay
-        link.in_reuse_delay = False
-
-    def release(self, link: PooledConnection) -> None:
-        """After a whole, clean answer: free for the next, unless it is to go."""
-        place = self.backends.get(link.backend)
-        if place is None or link not in place.in_use:
-            return link.abort()
-        self.end_reuse_delay(place, link)
-        place.in_use.discard(link)
+    def end_reuse_delay(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+        """Counts the connection no longer as free in a moment."""
+        backend_pool.in_reuse_delay -= connection.in_reuse_delay
+        self.in_reuse_delay -= connection.in_reuse_delay
+        connection.in_reuse_delay = False
+
+    def release(self, connection: PooledConnection) -> None:
+        """After a complete and correct answer: makes the connection available again, unless it is to be closed."""
+        backend_pool = self.backends.get(connection.backend)
+        if backend_pool is None or connection not in backend_pool.in_use:
+            return connection.abort()
+        self.end_reuse_delay(backend_pool, connection)
+        backend_pool.in_use.discard(connection)
         now = self.clock()
-        if link.state is ConnectionState.RETIRING or not self.keeps_idle and not place.waiting:
-            return self.close_connection(link, "retired")
-        if now >= link.retire_at:
-            return self.close_connection(link, "aged")
-        if place.waiting and not link.is_reusable():
-            return self.close_connection(link, "stale")
-        return self.assign_or_keep(place, link)
-
-    def answer_received(self, link: PooledConnection) -> None:
-        """A whole answer came on it, after all the time that it had stood idle."""
-        place = self.backends.get(link.backend)
-        if place is not None:
-            place.last_response_at = self.clock()
-            if link.idle_time > IDLE_DECREASE * place.proven_idle_time:
-                place.proven_idle_time = min(IDLE_INCREASE * place.proven_idle_time, self.idle_limit(place))
-
-    def connection_broke(self, link: PooledConnection, sent_at: float) -> None:
-        """It broke under an attempt: a kept one that was dead already tells that they are kept too long."""
-        place = self.backends.get(link.backend)
-        self.figures["pool broke reused" if link.reused and link.idle_time else "pool broke new"] += 1
-        if place is not None and link.idle_time and self.clock() - sent_at < STALE_BREAK_WITHIN:
-            place.proven_idle_time = max(IDLE_DECREASE * min(link.idle_time, place.proven_idle_time, self.idle_limit(place)), MIN_IDLE_TIME)
-
-    def connection_closed(self, link: PooledConnection) -> None:
-        """It holds no descriptor any more, whoever closed it."""
-        self.connections.discard(link)
-        place = self.backends.get(link.backend)
-        if place is not None:
-            if link in place.idle:
+        if connection.state is ConnectionState.RETIRING or not self.keeps_idle and not backend_pool.waiting:
+            return self.close_connection(connection, "retired")
+        if now >= connection.retire_at:
+            return self.close_connection(connection, "aged")
+        if backend_pool.waiting and not connection.is_reusable():
+            return self.close_connection(connection, "stale")
+        return self.assign_or_keep(backend_pool, connection)
+
+    def answer_received(self, connection: PooledConnection) -> None:
+        """A complete answer arrived: the connection survived the time for which it had been idle."""
+        backend_pool = self.backends.get(connection.backend)
+        if backend_pool is not None:
+            backend_pool.last_response_at = self.clock()
+            if connection.idle_time > IDLE_DECREASE * backend_pool.proven_idle_time:
+                backend_pool.proven_idle_time = min(IDLE_INCREASE * backend_pool.proven_idle_time, self.idle_limit(backend_pool))
+
+    def connection_broke(self, connection: PooledConnection, sent_at: float) -> None:
+        """A connection broke under an attempt.
+
+        Where it was a reused one and broke at once, it had been dead before: idle ones are kept too long.
+        """
+        backend_pool = self.backends.get(connection.backend)
+        self.figures["pool broke reused" if connection.reused and connection.idle_time else "pool broke new"] += 1
+        if backend_pool is not None and connection.idle_time and self.clock() - sent_at < STALE_BREAK_WITHIN:
+            backend_pool.proven_idle_time = max(IDLE_DECREASE * min(connection.idle_time, backend_pool.proven_idle_time, self.idle_limit(backend_pool)), MIN_IDLE_TIME)
+
+    def connection_closed(self, connection: PooledConnection) -> None:
+        """A connection holds no descriptor any more, whichever side closed it."""
+        self.connections.discard(connection)
+        backend_pool = self.backends.get(connection.backend)
+        if backend_pool is not None:
+            if connection in backend_pool.idle:
                 self.figures["pool closed idle"] += 1
-                self.remove_idle(place, link)
-            self.end_reuse_delay(place, link)
-            place.in_use.discard(link)
-            if link in place.opening:
-                self.remove_opening(place, link)
-            self.drop_unused(link.backend, place)
-            if place.waiting:
-                self.open_for(link.backend, place)
-                self.fail_unservable(place)
-        link.state = ConnectionState.CLOSED
+                self.remove_idle(backend_pool, connection)
+            self.end_reuse_delay(backend_pool, connection)
+            backend_pool.in_use.discard(connection)
+            if connection in backend_pool.opening:
+                self.remove_opening(backend_pool, connection)
+            self.drop_unused(connection.backend, backend_pool)
+            if backend_pool.waiting:
+                self.open_for(connection.backend, backend_pool)
+                self.fail_unservable(backend_pool)
+        connection.state = ConnectionState.CLOSED
         self.open_for_waiting()
 
-    def fail_unservable(self, place: BackendPool) -> None:
-        """Who waits where nothing can come any more, as there is no room to open, goes without."""
-        while place.waiting and not (place.opening or place.in_use or self.at_opening_limit(place)):
+    def fail_unservable(self, backend_pool: BackendPool) -> None:
+        """Ends the waiting attempts of a backend without connections, where none may be opened."""
+        while backend_pool.waiting and not (backend_pool.opening or backend_pool.in_use or self.at_opening_limit(backend_pool)):
             self.figures["pool no room"] += 1
-            place.waiting.popleft().lost(Outcome.NOT_SENT)
+            backend_pool.waiting.popleft().lost(Outcome.NOT_SENT)
 
-    # ends
+    # closing
 
-    def close_unassigned(self, place: BackendPool, link: PooledConnection, why: str) -> None:
-        """Closes what no attempt is on."""
-        if link in place.idle:
-            self.remove_idle(place, link)
+    def close_unassigned(self, backend_pool: BackendPool, connection: PooledConnection, why: str) -> None:
+        """Closes a connection that carries no attempt."""
+        if connection in backend_pool.idle:
+            self.remove_idle(backend_pool, connection)
         else:
-            self.remove_opening(place, link)
-        self.close_connection(link, why)
+            self.remove_opening(backend_pool, connection)
+        self.close_connection(connection, why)
 
-    def close_connection(self, link: PooledConnection, why: str) -> None:
+    def close_connection(self, connection: PooledConnection, why: str) -> None:
+        """Counts, reports and closes; `why` is part of a figure's name."""
         self.figures[f"pool {why}"] += 1
-        self.on_close(link.backend, why)
-        link.state = ConnectionState.CLOSED
-        link.abort()
-
-    def clear(self, place: BackendPool, why: str) -> None:
-        for link in [*place.idle, *place.opening]:
-            self.close_unassigned(place, link, why)
-        for link in place.in_use:
-            link.state = ConnectionState.RETIRING
-
-    def drop_unused(self, backend: str, place: BackendPool) -> None:
-        if place.address is None and not place.size() and not place.waiting:
+        self.on_close(connection.backend, why)
+        connection.state = ConnectionState.CLOSED
+        connection.abort()
+
+    def close_or_retire_all(self, backend_pool: BackendPool, why: str) -> None:
+        """Closes the unused connections, and marks those in use for closing after their answers."""
+        for connection in [*backend_pool.idle, *backend_pool.opening]:
+            self.close_unassigned(backend_pool, connection, why)
+        for connection in backend_pool.in_use:
+            connection.state = ConnectionState.RETIRING
+
+    def drop_unused(self, backend: str, backend_pool: BackendPool) -> None:
+        """Frees the state of a retired backend that has no connections and no waiting attempts."""
+        if backend_pool.address is None and not backend_pool.size() and not backend_pool.waiting:
             self.backends.pop(backend, None)
             self.backends_waiting.pop(backend, None)
 
     def close_expired(self) -> None:
-        """Closes what has been idle for long, or is old."""
+        """Closes connections that have been idle for too long or have reached their age limit."""
         now = self.clock()
-        for link, place in list(self.idle_connections.items()):
-            if link.idle_since < now - self.idle_limit(place) or now >= link.retire_at:
-                self.close_unassigned(place, link, "aged")
+        for connection, backend_pool in list(self.idle_connections.items()):
+            if connection.idle_since < now - self.idle_limit(backend_pool) or now >= connection.retire_at:
+                self.close_unassigned(backend_pool, connection, "aged")
 
     def close_all(self) -> None:
-        for place in self.backends.values():
-            self.clear(place, "at the end")
-            for link in list(place.in_use):
-                link.abort()
+        """Closes all connections, also those in use."""
+        for backend_pool in self.backends.values():
+            self.close_or_retire_all(backend_pool, "at the end")
+            for connection in list(backend_pool.in_use):
+                connection.abort()
 
     def idle_count(self) -> int:
+        """Connections that are idle or will be in a moment."""
         return len(self.idle_connections) + self.in_reuse_delay
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -189,7 +189,7 @@
 
 def test_sizes_hold_and_a_line_waits_for_what_falls_free() -> None:
     world = World()
-    world.pool.set_size("a", keep=1, most=2, idle_for=INF)
+    world.pool.set_size("a", max_idle=1, max_connections=2, max_idle_time=INF)
     attempts = [world.start() for _ in range(3)]
     assert len(world.made) == 2
     links = [world.up(n) for n in range(2)]
@@ -198,7 +198,7 @@
     world.done(links[0])
     world.done(links[1])
     assert links[0].shutting and not links[1].shutting and world.pool.figures["pool surplus"] == 1
-    world.pool.set_size("a", keep=0, most=2, idle_for=INF)
+    world.pool.set_size("a", max_idle=0, max_connections=2, max_idle_time=INF)
     assert links[1].shutting
 
 
@@ -207,7 +207,7 @@
     world.start()
     link = world.up(0)
     world.done(link)
-    world.pool.set_size("a", keep=INF, most=1, idle_for=1.0)
+    world.pool.set_size("a", max_idle=INF, max_connections=1, max_idle_time=1.0)
     world.now += 0.9
     assert world.start().link is link
     world.done(link)
