--- a/embersill/net/pool.py
+++ b/embersill/net/pool.py
@@ -18,14 +18,14 @@
 
 # factors on an idle time that a connection did not survive, or did: the limit that is tried next
 IDLE_DECREASE, IDLE_INCREASE = 0.5, 1.25
-MIN_IDLE_TIME = 0.02  # seconds for which an idle connection is kept in any case, for attempts in quick succession
+MIN_IDLE_TIME = 0.02  # seconds for which an idle connection is kept in any case, for back-to-back attempts
 STALE_BREAK_WITHIN = 0.01  # seconds after a write within which a connection breaks that was dead before it
-# seconds for which a backend counts as alive after its last answer: a failed open then means that its connection
-# table is full. Opens take only a fraction of this
+# seconds for which a backend counts as alive after its last answer: a failed open then means that its table
+# of connections is full. Opens time out within a fraction of this
 ALIVE_FOR = 2.0
 DEFAULT_MARGIN = PoolSettings().margin
 MAX_MARGIN_SHARE = 0.25  # of the backends' idle limit that the default margin before it may take
-AGE_SPREAD = 0.2  # relative deviation from max_age, so that connections opened together are not closed together
+AGE_SPREAD = 0.2  # of max_age, either way: connections that were opened together are not closed together
 
 Address = tuple[str, int]
 
@@ -124,55 +124,56 @@
         self.settings, self.random = settings, Random(seed)
         self.backends: dict[str, BackendPool] = {}
         self.connections: set[PooledConnection] = set()  # all that may hold a descriptor
-        self.idle_connections: dict[PooledConnection, BackendPool] = {}  # the one idle for longest comes first
+        self.idle_connections: dict[PooledConnection, BackendPool] = {}  # the one idle for longest is first
         self.in_reuse_delay = 0  # number of those in use that will be free in a moment
         self.opening = 0  # number being opened
-        self.backends_waiting: dict[str, None] = {}  # those with attempts for which no open may start yet, in order
+        self.backends_waiting: dict[str, None] = {}  # backends that may not open one yet, first come first
         self.held_by_predecessor = 0  # the predecessor's connections, which count under the same limit
         self.keeps_idle = True  # idle connections are kept for further attempts
         self.figures: Tally[str] = Tally()
-        # called with a backend that is alive but refuses connections, and the number that are open to it
+        # called where an open failed although the backend is alive, with the number of open connections to it
         self.on_open_failed: Callable[[str, int], None] = lambda backend, open_connections: None
-        self.on_close: Callable[[str, str], None] = lambda backend, reason: None  # called for every close from here
+        # called with the backend and the reason of every connection that the pool closes
+        self.on_close: Callable[[str, str], None] = lambda backend, reason: None
 
-    def idle_limit(self, backend_pool: BackendPool) -> float:
+    def idle_limit(self, pool: BackendPool) -> float:
         """Seconds for which connections to a backend may be idle."""
         margin = self.settings.margin
         if margin == DEFAULT_MARGIN:  # operators who configure another one know their backends' limit
             margin = min(margin, MAX_MARGIN_SHARE * self.keepalive)
-        return max(min(self.keepalive - margin, backend_pool.max_idle_time), MIN_IDLE_TIME)
+        return max(min(self.keepalive - margin, pool.max_idle_time), MIN_IDLE_TIME)
 
     # instructions from the backend list and the decision module
 
     def set_address(self, backend: str, address: Address, started_at: float | None = None) -> None:
         """Sets where a backend listens; connections to its previous address or process are closed."""
-        backend_pool = self.backends.setdefault(backend, BackendPool())
-        if (backend_pool.address, backend_pool.started_at) == (address, started_at):
+        pool = self.backends.setdefault(backend, BackendPool())
+        if (pool.address, pool.started_at) == (address, started_at):
             return
-        self.close_or_retire_all(backend_pool, "moved")
-        backend_pool.address, backend_pool.started_at = address, started_at
-        backend_pool.proven_idle_time = backend_pool.max_connections = backend_pool.max_idle = backend_pool.max_idle_time = float("inf")
-        backend_pool.last_response_at = float("-inf")
-        self.open_for(backend, backend_pool)
+        self.close_or_retire_all(pool, "moved")
+        pool.address, pool.started_at = address, started_at
+        pool.proven_idle_time = pool.max_connections = pool.max_idle = pool.max_idle_time = float("inf")
+        pool.last_response_at = float("-inf")
+        self.open_for(backend, pool)
 
     def retire(self, backend: str) -> None:
         """For a draining or removed backend: nothing is written to it from now on, not even waiting attempts.
 
         Attempts in flight go on to their ends, and their connections are closed after them.
         """
-        backend_pool = self.backends.get(backend)
-        if backend_pool is not None:
-            backend_pool.address = None
+        pool = self.backends.get(backend)
+        if pool is not None:
+            pool.address = None
             self.close_unused(backend)
-            self.drop_unused(backend, backend_pool)
+            self.drop_unused(backend, pool)
 
     def close_unused(self, backend: str) -> None:
-        """Closes the idle connections to a backend and those being opened, and ends the attempts that wait for it."""
-        backend_pool = self.backends.get(backend)
-        if backend_pool is not None:
-            self.close_or_retire_all(backend_pool, "hung up")
-            while backend_pool.waiting:
-                backend_pool.waiting.popleft().lost(Outcome.NO_CONNECTION)
+        """Closes a backend's connections that carry no attempt, and ends the attempts that wait for one."""
+        pool = self.backends.get(backend)
+        if pool is not None:
+            self.close_or_retire_all(pool, "hung up")
+            while pool.waiting:
+                pool.waiting.popleft().lost(Outcome.NO_CONNECTION)
 
     def retire_unlisted(self, known: Iterable[str]) -> None:
         """After a full list: retires the backends that it does not name."""
@@ -182,53 +183,53 @@
 
     def set_size(self, backend: str, max_idle: float, max_connections: float, max_idle_time: float) -> None:
         """Limits the idle connections, all connections, and the seconds of idleness."""
-        backend_pool = self.backends.get(backend)
-        if backend_pool is not None:
-            backend_pool.max_idle, backend_pool.max_connections, backend_pool.max_idle_time = (
+        pool = self.backends.get(backend)
+        if pool is not None:
+            pool.max_idle, pool.max_connections, pool.max_idle_time = (
                 max_idle, max_connections, max_idle_time)
-            while len(backend_pool.idle) > max_idle:
-                self.close_unassigned(backend_pool, backend_pool.idle[0], "surplus")
-            self.open_for(backend, backend_pool)
+            while len(pool.idle) > max_idle:
+                self.close_unassigned(pool, pool.idle[0], "surplus")
+            self.open_for(backend, pool)
 
     def preconnect(self, backend: str, count: int) -> None:
         """Opens connections until `count` of them are idle or being opened."""
-        backend_pool = self.backends.get(backend)
-        while backend_pool is not None and len(backend_pool.idle) + len(backend_pool.opening) < count and self.may_open(backend_pool):
+        pool = self.backends.get(backend)
+        while pool is not None and len(pool.idle) + len(pool.opening) < count and self.may_open(pool):
             self.figures["pool warmed"] += 1
-            self.open(backend, backend_pool)
+            self.open(backend, pool)
 
     def stop_keeping_idle(self) -> None:
         """Closes connections after their attempts from now on: a successor needs the descriptors."""
         self.keeps_idle = False
-        for connection, backend_pool in list(self.idle_connections.items()):
-            self.close_unassigned(backend_pool, connection, "handed over")
+        for connection, pool in list(self.idle_connections.items()):
+            self.close_unassigned(pool, connection, "handed over")
 
     def drop_idle(self, backend: str) -> None:
         """After an attempt timed out: connections to a machine that lost its network stay open but silent."""
-        backend_pool = self.backends.get(backend)
-        while backend_pool is not None and backend_pool.idle:
-            self.close_unassigned(backend_pool, backend_pool.idle[0], "silent")
+        pool = self.backends.get(backend)
+        while pool is not None and pool.idle:
+            self.close_unassigned(pool, pool.idle[0], "silent")
 
     # attempts
 
     def start(self, attempt: Waiter) -> None:
         """Assigns a connection to an attempt, now or once there is one."""
-        backend_pool = self.backends.get(attempt.backend)
-        if backend_pool is None or backend_pool.address is None:
+        pool = self.backends.get(attempt.backend)
+        if pool is None or pool.address is None:
             return attempt.lost(Outcome.NO_CONNECTION)
-        connection = self.take_reusable(backend_pool)
+        connection = self.take_reusable(pool)
         if connection is not None:
-            return self.assign(backend_pool, connection, attempt)
-        backend_pool.waiting.append(attempt)
-        self.open_for(attempt.backend, backend_pool)
-        return self.fail_unservable(backend_pool)
+            return self.assign(pool, connection, attempt)
+        pool.waiting.append(attempt)
+        self.open_for(attempt.backend, pool)
+        return self.fail_unservable(pool)
 
     def withdraw(self, attempt: Waiter) -> None:
         """Removes a waiting attempt; connections being opened go on, for other attempts or as idle ones."""
-        backend_pool = self.backends.get(attempt.backend)
-        if backend_pool is not None and attempt in backend_pool.waiting:
-            backend_pool.waiting.remove(attempt)
-            if not backend_pool.waiting:
+        pool = self.backends.get(attempt.backend)
+        if pool is not None and attempt in pool.waiting:
+            pool.waiting.remove(attempt)
+            if not pool.waiting:
                 self.backends_waiting.pop(attempt.backend, None)
 
     def why_waiting(self, attempt: Waiter) -> Outcome:
@@ -236,53 +237,56 @@
 
         NO_CONNECTION while connections to its backend are being opened, else NOT_SENT: no slot was free.
         """
-        backend_pool = self.backends.get(attempt.backend)
-        return Outcome.NO_CONNECTION if backend_pool is not None and backend_pool.opening else Outcome.NOT_SENT
+        pool = self.backends.get(attempt.backend)
+        return Outcome.NO_CONNECTION if pool is not None and pool.opening else Outcome.NOT_SENT
 
-    def take_reusable(self, backend_pool: BackendPool) -> PooledConnection | None:
+    def take_reusable(self, pool: BackendPool) -> PooledConnection | None:
         """The idle connection used last; those found too old or unusable on the way are closed."""
         now = self.clock()
-        while backend_pool.idle:
-            connection = backend_pool.idle[-1]
+        while pool.idle:
+            connection = pool.idle[-1]
             connection.idle_time = now - connection.idle_since
-            if connection.idle_time >= min(backend_pool.proven_idle_time, self.idle_limit(backend_pool)) or now >= connection.retire_at:
-                self.close_unassigned(backend_pool, connection, "aged")
+            if (
+                connection.idle_time >= min(pool.proven_idle_time, self.idle_limit(pool))
+                or now >= connection.retire_at
+            ):
+                self.close_unassigned(pool, connection, "aged")
             elif not connection.is_reusable():
-                self.close_unassigned(backend_pool, connection, "stale")
+                self.close_unassigned(pool, connection, "stale")
             else:
-                self.remove_idle(backend_pool, connection)
+                self.remove_idle(pool, connection)
                 return connection
         return None
 
-    def assign(self, backend_pool: BackendPool, connection: PooledConnection, attempt: Waiter) -> None:
+    def assign(self, pool: BackendPool, connection: PooledConnection, attempt: Waiter) -> None:
         """Sends an attempt on a connection."""
         now = self.clock()
         self.figures["pool reused"] += connection.reused
         connection.state = ConnectionState.IN_USE
-        backend_pool.in_use.add(connection)
+        pool.in_use.add(connection)
         connection.send(attempt, max(attempt.until - now, 0.001))
         connection.reused = True
 
     # opening
 
-    def open_for(self, backend: str, backend_pool: BackendPool) -> None:
+    def open_for(self, backend: str, pool: BackendPool) -> None:
         """Opens a connection for each waiting attempt that needs one, as far as the limits allow."""
-        while len(backend_pool.opening) + backend_pool.in_reuse_delay < len(backend_pool.waiting) and self.may_open(backend_pool):
-            self.open(backend, backend_pool)
-        if len(backend_pool.opening) + backend_pool.in_reuse_delay < len(backend_pool.waiting) and self.at_opening_limit(backend_pool):
+        while len(pool.opening) + pool.in_reuse_delay < len(pool.waiting) and self.may_open(pool):
+            self.open(backend, pool)
+        if len(pool.opening) + pool.in_reuse_delay < len(pool.waiting) and self.at_opening_limit(pool):
             self.backends_waiting[backend] = None
         else:
             self.backends_waiting.pop(backend, None)
 
-    def may_open(self, backend_pool: BackendPool) -> bool:
+    def may_open(self, pool: BackendPool) -> bool:
         """True where one more may be opened, if need be after closing an idle one of any backend."""
-        if backend_pool.address is None or self.at_opening_limit(backend_pool) or backend_pool.size() >= backend_pool.max_connections:
+        if pool.address is None or self.at_opening_limit(pool) or pool.size() >= pool.max_connections:
             return False
         return len(self.connections) + self.held_by_predecessor < self.max_connections or self.evict()
 
-    def at_opening_limit(self, backend_pool: BackendPool) -> bool:
+    def at_opening_limit(self, pool: BackendPool) -> bool:
         """True while as many opens are under way as are allowed at once, which does not last long."""
-        return self.opening >= self.settings.opening or len(backend_pool.opening) >= self.settings.opening_each
+        return self.opening >= self.settings.opening or len(pool.opening) >= self.settings.opening_each
 
     def evict(self) -> bool:
         """Closes the connection that has been idle for longest; False where none is idle."""
@@ -292,162 +296,168 @@
         self.close_unassigned(self.idle_connections[connection], connection, "made way")
         return True
 
-    def remove_idle(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+    def remove_idle(self, pool: BackendPool, connection: PooledConnection) -> None:
         """Removes a connection from the idle ones."""
-        backend_pool.idle.remove(connection)
+        pool.idle.remove(connection)
         del self.idle_connections[connection]
 
-    def open(self, backend: str, backend_pool: BackendPool) -> None:
+    def open(self, backend: str, pool: BackendPool) -> None:
         """Starts to open a connection."""
-        assert backend_pool.address is not None
-        connection = self.opener(backend, backend_pool.address)
-        backend_pool.opening.append(connection)
+        assert pool.address is not None
+        connection = self.opener(backend, pool.address)
+        pool.opening.append(connection)
         self.opening += 1
         self.connections.add(connection)
 
-    def remove_opening(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
-        """Removes a connection from those being opened, which it succeeded or failed."""
-        backend_pool.opening.remove(connection)
+    def remove_opening(self, pool: BackendPool, connection: PooledConnection) -> None:
+        """Removes a connection from those being opened, after success or failure."""
+        pool.opening.remove(connection)
         self.opening -= 1
 
     def opening_succeeded(self, connection: PooledConnection) -> None:
         """A connection is open: it is assigned or kept."""
-        backend_pool = self.backends.get(connection.backend)
-        if backend_pool is None or connection not in backend_pool.opening:
+        pool = self.backends.get(connection.backend)
+        if pool is None or connection not in pool.opening:
             return connection.abort()
-        self.remove_opening(backend_pool, connection)
+        self.remove_opening(pool, connection)
         self.figures["pool opened"] += 1
         if self.settings.max_age > 0:
             spread = 1.0 + AGE_SPREAD * (2.0 * self.random.random() - 1.0)
             connection.retire_at = self.clock() + spread * self.settings.max_age
-        self.assign_or_keep(backend_pool, connection)
+        self.assign_or_keep(pool, connection)
         return self.open_for_waiting()
 
-    def assign_or_keep(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+    def assign_or_keep(self, pool: BackendPool, connection: PooledConnection) -> None:
         """Assigns a free connection to the attempt that waits longest, or keeps it idle."""
         now = self.clock()
-        if backend_pool.waiting:
-            attempt = backend_pool.waiting.popleft()
+        if pool.waiting:
+            attempt = pool.waiting.popleft()
             self.figures["pool waited"] += 1
             self.figures["pool waited ms"] += round(1000 * (now - attempt.sent_at))
             connection.idle_time = 0.0
-            return self.assign(backend_pool, connection, attempt)
+            return self.assign(pool, connection, attempt)
         connection.state, connection.idle_since = ConnectionState.IDLE, now
-        backend_pool.idle.append(connection)
-        self.idle_connections[connection] = backend_pool
-        while len(backend_pool.idle) > backend_pool.max_idle or backend_pool.idle and not self.keeps_idle:
-            self.close_unassigned(backend_pool, backend_pool.idle[0], "surplus")
+        pool.idle.append(connection)
+        self.idle_connections[connection] = pool
+        while len(pool.idle) > pool.max_idle or pool.idle and not self.keeps_idle:
+            self.close_unassigned(pool, pool.idle[0], "surplus")
         return None
 
     def opening_failed(self, connection: PooledConnection, failure: OpenFailure) -> None:
         """An open failed: the first waiting attempt fails too, unless enough other opens are under way."""
-        backend_pool = self.backends.get(connection.backend)
-        if backend_pool is None or connection not in backend_pool.opening:
+        pool = self.backends.get(connection.backend)
+        if pool is None or connection not in pool.opening:
             return None  # it was cancelled: no attempt waits for it
-        self.remove_opening(backend_pool, connection)
+        self.remove_opening(pool, connection)
         connection.state = ConnectionState.CLOSED
         self.figures[f"pool open {failure.value}"] += 1
-        if failure is OpenFailure.LOCAL and backend_pool.waiting and self.evict():
-            return self.open_for(connection.backend, backend_pool)
-        open_connections = len(backend_pool.idle) + len(backend_pool.in_use)
-        if failure is not OpenFailure.LOCAL and open_connections and self.clock() - backend_pool.last_response_at < ALIVE_FOR:
+        if failure is OpenFailure.LOCAL and pool.waiting and self.evict():
+            return self.open_for(connection.backend, pool)
+        open_connections = len(pool.idle) + len(pool.in_use)
+        if (
+            failure is not OpenFailure.LOCAL and open_connections
+            and self.clock() - pool.last_response_at < ALIVE_FOR
+        ):
             self.on_open_failed(connection.backend, open_connections)
-        if len(backend_pool.waiting) > len(backend_pool.opening):
+        if len(pool.waiting) > len(pool.opening):
             local = failure is OpenFailure.LOCAL
-            backend_pool.waiting.popleft().lost(Outcome.NOT_SENT if local else Outcome.NO_CONNECTION)
-        self.open_for(connection.backend, backend_pool)
+            pool.waiting.popleft().lost(Outcome.NOT_SENT if local else Outcome.NO_CONNECTION)
+        self.open_for(connection.backend, pool)
         return self.open_for_waiting()
 
     def open_for_waiting(self) -> None:
         """Opens connections for the backends that wait for permission to open, in their order."""
         for backend in list(self.backends_waiting):
-            backend_pool = self.backends.get(backend)
-            if backend_pool is not None:
-                self.open_for(backend, backend_pool)
+            pool = self.backends.get(backend)
+            if pool is not None:
+                self.open_for(backend, pool)
 
     # reports of connections
 
     def start_reuse_delay(self, connection: PooledConnection) -> None:
-        """After a complete and correct answer: the connection is released a moment later, if nothing more arrives."""
-        backend_pool = self.backends.get(connection.backend)
-        if backend_pool is not None and connection in backend_pool.in_use:
+        """After a complete and correct answer: counts the connection as free in a moment."""
+        pool = self.backends.get(connection.backend)
+        if pool is not None and connection in pool.in_use:
             connection.in_reuse_delay = True
-            backend_pool.in_reuse_delay += 1
+            pool.in_reuse_delay += 1
             self.in_reuse_delay += 1
 
-    def end_reuse_delay(self, backend_pool: BackendPool, connection: PooledConnection) -> None:
+    def end_reuse_delay(self, pool: BackendPool, connection: PooledConnection) -> None:
         """Counts the connection no longer as free in a moment."""
-        backend_pool.in_reuse_delay -= connection.in_reuse_delay
+        pool.in_reuse_delay -= connection.in_reuse_delay
         self.in_reuse_delay -= connection.in_reuse_delay
         connection.in_reuse_delay = False
 
     def release(self, connection: PooledConnection) -> None:
-        """After a complete and correct answer: makes the connection available again, unless it is to be closed."""
-        backend_pool = self.backends.get(connection.backend)
-        if backend_pool is None or connection not in backend_pool.in_use:
+        """After a complete and correct answer: makes the connection available again, or closes it."""
+        pool = self.backends.get(connection.backend)
+        if pool is None or connection not in pool.in_use:
             return connection.abort()
-        self.end_reuse_delay(backend_pool, connection)
-        backend_pool.in_use.discard(connection)
+        self.end_reuse_delay(pool, connection)
+        pool.in_use.discard(connection)
         now = self.clock()
-        if connection.state is ConnectionState.RETIRING or not self.keeps_idle and not backend_pool.waiting:
+        if connection.state is ConnectionState.RETIRING or not self.keeps_idle and not pool.waiting:
             return self.close_connection(connection, "retired")
         if now >= connection.retire_at:
             return self.close_connection(connection, "aged")
-        if backend_pool.waiting and not connection.is_reusable():
+        if pool.waiting and not connection.is_reusable():
             return self.close_connection(connection, "stale")
-        return self.assign_or_keep(backend_pool, connection)
+        return self.assign_or_keep(pool, connection)
 
     def answer_received(self, connection: PooledConnection) -> None:
         """A complete answer arrived: the connection survived the time for which it had been idle."""
-        backend_pool = self.backends.get(connection.backend)
-        if backend_pool is not None:
-            backend_pool.last_response_at = self.clock()
-            if connection.idle_time > IDLE_DECREASE * backend_pool.proven_idle_time:
-                backend_pool.proven_idle_time = min(IDLE_INCREASE * backend_pool.proven_idle_time, self.idle_limit(backend_pool))
+        pool = self.backends.get(connection.backend)
+        if pool is not None:
+            pool.last_response_at = self.clock()
+            if connection.idle_time > IDLE_DECREASE * pool.proven_idle_time:
+                pool.proven_idle_time = min(IDLE_INCREASE * pool.proven_idle_time, self.idle_limit(pool))
 
     def connection_broke(self, connection: PooledConnection, sent_at: float) -> None:
         """A connection broke under an attempt.
 
         Where it was a reused one and broke at once, it had been dead before: idle ones are kept too long.
         """
-        backend_pool = self.backends.get(connection.backend)
-        self.figures["pool broke reused" if connection.reused and connection.idle_time else "pool broke new"] += 1
-        if backend_pool is not None and connection.idle_time and self.clock() - sent_at < STALE_BREAK_WITHIN:
-            backend_pool.proven_idle_time = max(IDLE_DECREASE * min(connection.idle_time, backend_pool.proven_idle_time, self.idle_limit(backend_pool)), MIN_IDLE_TIME)
+        pool = self.backends.get(connection.backend)
+        self.figures[
+            "pool broke reused" if connection.reused and connection.idle_time else "pool broke new"] += 1
+        if pool is not None and connection.idle_time and self.clock() - sent_at < STALE_BREAK_WITHIN:
+            pool.proven_idle_time = max(
+                IDLE_DECREASE * min(connection.idle_time, pool.proven_idle_time, self.idle_limit(pool)),
+                MIN_IDLE_TIME)
 
     def connection_closed(self, connection: PooledConnection) -> None:
         """A connection holds no descriptor any more, whichever side closed it."""
         self.connections.discard(connection)
-        backend_pool = self.backends.get(connection.backend)
-        if backend_pool is not None:
-            if connection in backend_pool.idle:
+        pool = self.backends.get(connection.backend)
+        if pool is not None:
+            if connection in pool.idle:
                 self.figures["pool closed idle"] += 1
-                self.remove_idle(backend_pool, connection)
-            self.end_reuse_delay(backend_pool, connection)
-            backend_pool.in_use.discard(connection)
-            if connection in backend_pool.opening:
-                self.remove_opening(backend_pool, connection)
-            self.drop_unused(connection.backend, backend_pool)
-            if backend_pool.waiting:
-                self.open_for(connection.backend, backend_pool)
-                self.fail_unservable(backend_pool)
+                self.remove_idle(pool, connection)
+            self.end_reuse_delay(pool, connection)
+            pool.in_use.discard(connection)
+            if connection in pool.opening:
+                self.remove_opening(pool, connection)
+            self.drop_unused(connection.backend, pool)
+            if pool.waiting:
+                self.open_for(connection.backend, pool)
+                self.fail_unservable(pool)
         connection.state = ConnectionState.CLOSED
         self.open_for_waiting()
 
-    def fail_unservable(self, backend_pool: BackendPool) -> None:
+    def fail_unservable(self, pool: BackendPool) -> None:
         """Ends the waiting attempts of a backend without connections, where none may be opened."""
-        while backend_pool.waiting and not (backend_pool.opening or backend_pool.in_use or self.at_opening_limit(backend_pool)):
+        while pool.waiting and not (pool.opening or pool.in_use or self.at_opening_limit(pool)):
             self.figures["pool no room"] += 1
-            backend_pool.waiting.popleft().lost(Outcome.NOT_SENT)
+            pool.waiting.popleft().lost(Outcome.NOT_SENT)
 
     # closing
 
-    def close_unassigned(self, backend_pool: BackendPool, connection: PooledConnection, why: str) -> None:
+    def close_unassigned(self, pool: BackendPool, connection: PooledConnection, why: str) -> None:
         """Closes a connection that carries no attempt."""
-        if connection in backend_pool.idle:
-            self.remove_idle(backend_pool, connection)
+        if connection in pool.idle:
+            self.remove_idle(pool, connection)
         else:
-            self.remove_opening(backend_pool, connection)
+            self.remove_opening(pool, connection)
         self.close_connection(connection, why)
 
     def close_connection(self, connection: PooledConnection, why: str) -> None:
@@ -457,31 +467,31 @@
         connection.state = ConnectionState.CLOSED
         connection.abort()
 
-    def close_or_retire_all(self, backend_pool: BackendPool, why: str) -> None:
+    def close_or_retire_all(self, pool: BackendPool, why: str) -> None:
         """Closes the unused connections, and marks those in use for closing after their answers."""
-        for connection in [*backend_pool.idle, *backend_pool.opening]:
-            self.close_unassigned(backend_pool, connection, why)
-        for connection in backend_pool.in_use:
+        for connection in [*pool.idle, *pool.opening]:
+            self.close_unassigned(pool, connection, why)
+        for connection in pool.in_use:
             connection.state = ConnectionState.RETIRING
 
-    def drop_unused(self, backend: str, backend_pool: BackendPool) -> None:
+    def drop_unused(self, backend: str, pool: BackendPool) -> None:
         """Frees the state of a retired backend that has no connections and no waiting attempts."""
-        if backend_pool.address is None and not backend_pool.size() and not backend_pool.waiting:
+        if pool.address is None and not pool.size() and not pool.waiting:
             self.backends.pop(backend, None)
             self.backends_waiting.pop(backend, None)
 
     def close_expired(self) -> None:
         """Closes connections that have been idle for too long or have reached their age limit."""
         now = self.clock()
-        for connection, backend_pool in list(self.idle_connections.items()):
-            if connection.idle_since < now - self.idle_limit(backend_pool) or now >= connection.retire_at:
-                self.close_unassigned(backend_pool, connection, "aged")
+        for connection, pool in list(self.idle_connections.items()):
+            if connection.idle_since < now - self.idle_limit(pool) or now >= connection.retire_at:
+                self.close_unassigned(pool, connection, "aged")
 
     def close_all(self) -> None:
         """Closes all connections, also those in use."""
-        for backend_pool in self.backends.values():
-            self.close_or_retire_all(backend_pool, "at the end")
-            for connection in list(backend_pool.in_use):
+        for pool in self.backends.values():
+            self.close_or_retire_all(pool, "at the end")
+            for connection in list(pool.in_use):
                 connection.abort()
 
     def idle_count(self) -> int:
