--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -1,7 +1,7 @@
-"""HTTP to backends: one attempt at a time on each connection, and how every attempt ended.
+"""The HTTP client for backends: one attempt at a time on each connection, and the result of every attempt.
 
-An attempt is written once, on one connection, and never again by this file: whether a request may be sent
-another time depends on how far this one came, and only the decision module judges that.
+An attempt is written once, on one connection, and never retried here: whether a request may be sent again
+depends on how far its attempt came, which only the decision module judges.
 """
 
 from __future__ import annotations
@@ -21,37 +21,40 @@
 from embersill.net.framing import AnswerFeeder, BadFraming, FramingFields
 from embersill.net.pool import Address, OpenFailure, PooledConnection, Pool, Waiter
 
-STREAM_AFTER = 0.2  # seconds from which an answer of unknown length goes on, though it may turn out a short one
-STALL_TIMEOUT = 10.0  # seconds without a byte, of an answer that goes on or to a backend that is to take a body
-MAX_HEAD_BYTES = 16 * 1024  # bytes of its heads, interim answers' included: real ones take some hundred
-REUSE_DELAY = 0.01  # seconds after an answer until its connection carries the next attempt: a second answer may come
-# some milliseconds late, and would pass for the next attempt's
-IDLE_SCAN_INTERVAL = 1.0  # seconds between looks for idle connections
+STREAM_AFTER = 0.2  # seconds after which an answer of unknown length is streamed, although it may be short
+STALL_TIMEOUT = 10.0  # seconds without progress of an answer that is streamed, or of a request body
+MAX_HEAD_BYTES = 16 * 1024  # of an answer, with the heads of interim answers: real ones take some hundred
+# seconds after an answer until its connection carries the next attempt: a surplus second answer may arrive
+# some milliseconds late, and would be taken for that attempt's
+REUSE_DELAY = 0.01
+IDLE_SCAN_INTERVAL = 1.0  # seconds between scans for stalled and expired connections
 UNITS_PATTERN = re.compile(rb"\+?(\d{1,30}\.?\d{0,30}|\.\d{1,30})([eE][+-]?\d{1,3})?")
-MAX_BILLED_UNITS = 1e6  # that an answer may bill
-# what a connection fails with where the lack is here and not at the backend
+MAX_BILLED_UNITS = 1e6  # units: an answer that claims more is billed none
+# errors of connecting that are due to this process or host and not to the backend
 LOCAL_ERRORS = frozenset((
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
     errno.ENETDOWN))
-TRANSIENT_ERRORS = LOCAL_ERRORS - {errno.EMFILE}  # of these, what may pass by itself: for EMFILE a descriptor has to go
-DIAL_RETRY_DELAYS = (0.01, 0.02, 0.04)  # seconds until it is tried again after such a failure
+TRANSIENT_ERRORS = LOCAL_ERRORS - {errno.EMFILE}  # EMFILE lasts until a descriptor is closed
+DIAL_RETRY_DELAYS = (0.01, 0.02, 0.04)  # seconds before each retry after a transient error
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, with the backend's answer if there was a whole one."""
+    """How an attempt ended, with the backend's answer if it was complete."""
 
     outcome: Outcome
     body: bytes = b""
     units: float = 0.0
-    headers: bytes = b""  # header lines that tell how to read the body
+    headers: bytes = b""  # the header lines that describe the body
 
 
+# called with an attempt whose answer is to be streamed, its header lines and its length if known; returns
+# where the answer goes, or None where nobody waits for it any more
 StreamOpener = Callable[["Attempt", bytes, int | None], Sink | None]
 
 
 class Attempt:
-    """One attempt: what to write, where to, and what became of it. `done` is called exactly once."""
+    """One attempt: its backend, its bytes and its state. `on_done` is called exactly once."""
 
     __slots__ = (
         "backend", "body", "connection", "on_done", "ended", "head", "is_abandoned", "open_stream", "timeout",
@@ -60,30 +63,33 @@
 
     def __init__(
         self, backend: str, head: bytes, body: bytes, sent_at: float, until: float,
-        done: Callable[[Attempt, AttemptResult], None], passing: StreamOpener, upload: Upload | None = None,
+        on_done: Callable[[Attempt, AttemptResult], None], open_stream: StreamOpener,
+        upload: Upload | None = None,
         write_by: float = inf, is_abandoned: Callable[[], bool] = lambda: False,
     ) -> None:
-        # is_abandoned: asked right before it is written, true where its client has gone meanwhile
+        """`until`, `write_by`: moments by which it must be answered and completely written, or ends;
+
+        `is_abandoned`: called right before it is written, true where its client has disconnected.
+        """
         self.is_abandoned = is_abandoned
-        # passing: asked where an answer goes that is passed on as it comes, with its headers and length
-        self.open_stream, self.upload = passing, upload
-        self.timeout = until - sent_at  # from the last byte of a body that is passed on
-        self.write_by = write_by  # it is written whole by then, or ends
+        self.open_stream, self.upload = open_stream, upload
+        self.timeout = until - sent_at  # counts from the last byte of a body that is streamed
+        self.write_by = write_by
         self.backend, self.head, self.body = backend, head, body
-        self.sent_at, self.until, self.on_done = sent_at, until, done
+        self.sent_at, self.until, self.on_done = sent_at, until, on_done
         self.connection: BackendConnection | None = None
-        self.pool: Pool | None = None  # where it waits for a connection
+        self.pool: Pool | None = None  # the pool in which it waits for a connection
         self.timer: asyncio.TimerHandle | None = None
         self.ended = False
-        self.was_written = False  # some of it was handed to a connection, for logs
+        self.was_written = False  # it was assigned to a connection at some time, for logs
 
     @property
     def was_assigned(self) -> bool:
-        """True once any of it was handed to a connection: from then on it may run."""
+        """True once it was assigned to a connection: from then on it may run."""
         return self.connection is not None
 
-    def end(self, answer: AttemptResult) -> None:
-        """The first end counts; one that waits leaves its line, and a connection still in use is given up."""
+    def end(self, result: AttemptResult) -> None:
+        """Ends the attempt, once: it leaves the queue, and its connection is closed if it is still in use."""
         if self.ended:
             return
         self.ended = True
@@ -95,28 +101,28 @@
             self.upload.wake = None
         if self.connection is not None:
             self.connection.abandon(self)
-        self.on_done(self, answer)
+        self.on_done(self, result)
 
     def lost(self, outcome: Outcome) -> None:
-        """There is no connection for it."""
+        """Ends an attempt that gets no connection."""
         self.end(AttemptResult(outcome))
 
     def time_out(self) -> None:
-        # one that still waits for its connection was never written, so it is known not to have run
+        """Ends the attempt at its deadline, with what is known of whether it ran."""
         connection, pool = self.connection, self.pool
         if connection is not None and not connection.fully_written:
-            self.end(AttemptResult(Outcome.NO_CONNECTION))  # nor one of which the kernel has not taken all
+            self.end(AttemptResult(Outcome.NO_CONNECTION))  # the backend cannot have the complete request
         elif connection is not None:
             self.end(AttemptResult(Outcome.TIMED_OUT))
-            # a machine that is cut off leaves its kept connections open and silent: what is written to them
-            # may have run, while an open that does not come up is known not to have
+            # connections to a machine that lost its network stay open but silent: an attempt written to one may
+            # have run, while an attempt whose connection could not be opened is known not to have run
             connection.pool.drop_idle(self.backend)
-        else:
+        else:  # it was never written, so it is known not to have run
             self.end(AttemptResult(pool.why_waiting(self) if pool is not None else Outcome.NOT_SENT))
 
 
 class BackendConnection(asyncio.BufferedProtocol, PooledConnection):
-    """A kept-alive connection that carries one attempt at a time."""
+    """A keep-alive connection that carries one attempt at a time."""
 
     def __init__(self, dialer: Dialer, pool: Pool, backend: str) -> None:
         PooledConnection.__init__(self, backend)
@@ -125,26 +131,27 @@
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.write_pending = False  # the kernel has not yet taken all of the request
-        self.fully_written = False  # the request was written whole
-        self.last_progress_at = 0.0  # when bytes last came or were taken
+        self.fully_written = False  # the request was written completely
+        self.last_progress_at = 0.0  # when bytes were last received, or accepted by the kernel
         self.parser = httptools.HttpResponseParser(self)
         self.feeder = AnswerFeeder(self.parser.feed_data)
         self.reset_answer()
 
     def reset_answer(self) -> None:
+        """Prepares for the next answer."""
         self.parts: list[bytes] = []
         self.size, self.units, self.headers, self.status = 0, 0.0, b"", 0
         self.in_head, self.head_size, self.trailers = True, 0, 0
         self.feeder.start()
         self.fields = FramingFields()
-        self.length: int | None = None  # of the answer's body, where its head tells
+        self.length: int | None = None  # of the answer's body, where its head says
         self.ends_at_close = self.body_unwanted = self.paused = self.invalid_framing = False
-        self.sink: Sink | None = None  # where the answer goes on to while it comes
+        self.sink: Sink | None = None  # where the answer is streamed to
         self.rejected = self.complete = self.keep_alive = self.has_surplus = self.malformed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        # with no room above the kernel's buffer, pause_writing tells that the request is not written whole
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
+        # without a buffer above the kernel's, pause_writing means that the request is not completely written
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
@@ -157,7 +164,7 @@
             self.write_body()
 
     def write_body(self) -> None:
-        """Writes on what has come of the body, as far as the backend takes it; the rest waits."""
+        """Writes the received part of a streamed body, as far as the kernel accepts it; the rest waits."""
         attempt = self.attempt
         if attempt is None or self.transport is None or self.fully_written:
             return
@@ -180,11 +187,12 @@
                 self.dialer.set_timer(attempt, attempt.until)
 
     def send(self, attempt: Waiter, wait: float) -> None:
+        """Writes an attempt, unless its time is over or its client has disconnected."""
         assert self.transport is not None and isinstance(attempt, Attempt)
         attempt.pool = None
-        # after a hold-up, what comes first may be neither its timer nor its client's end
-        last = attempt.write_by if attempt.upload is not None else min(attempt.write_by, attempt.until)
-        if self.pool.clock() >= last or attempt.is_abandoned():
+        # after the process was suspended, this may run before the attempt's timer or the client's disconnect
+        latest = attempt.write_by if attempt.upload is not None else min(attempt.write_by, attempt.until)
+        if self.pool.clock() >= latest or attempt.is_abandoned():
             self.pool.release(self)
             return attempt.end(AttemptResult(Outcome.NOT_SENT))
         self.attempt, attempt.connection, attempt.was_written = attempt, self, True
@@ -196,7 +204,7 @@
         self.write_body()
 
     def check_progress(self, now: float) -> None:
-        """Ends what no longer moves: half of an answer, or half of a body that the backend does not take."""
+        """Ends an attempt whose streamed answer or request body has stalled."""
         attempt = self.attempt
         if attempt is None or self.paused or now - self.last_progress_at <= STALL_TIMEOUT:
             return
@@ -206,7 +214,7 @@
             attempt.end(AttemptResult(Outcome.NO_CONNECTION))
 
     def abandon(self, attempt: Attempt) -> None:
-        """Closing is how a backend is told that nobody waits for the attempt any more."""
+        """Closes the connection, which tells the backend that its answer is not needed any more."""
         if self.attempt is attempt:
             self.attempt = None
             self.abort()
@@ -218,25 +226,26 @@
             self.transport.abort()
 
     def is_up(self) -> bool:
+        """True while the connection is open."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_reusable(self) -> bool:
-        # unread may be an end, or bytes that would pass for the next attempt's answer
+        # readable means the end of the connection, or bytes that would be taken for the next attempt's answer
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
         return not is_readable(transport.get_extra_info("socket"))
 
-    # what the parser tells
+    # callbacks of the parser
 
     def on_message_begin(self) -> None:
         self.has_surplus = self.has_surplus or self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.complete:
-            return  # of a surplus message: the answer to the attempt stands
+            return  # of a surplus message: the first answer counts
         if not self.in_head:
-            self.trailers += len(name) + len(value)  # they tell nothing that the head could not
+            self.trailers += len(name) + len(value)  # trailers are counted and otherwise ignored
             return
         name = name.lower()
         if name == b"x-rejected":
@@ -252,7 +261,7 @@
         if self.complete:
             return
         self.in_head = 100 <= self.parser.get_status_code() < 200
-        if self.in_head:  # the real answer's head follows, and this one's lines are none of its
+        if self.in_head:  # the final answer's head follows; this one's lines do not belong to it
             self.rejected, self.units, self.headers = False, 0.0, b""
             self.fields = FramingFields()
             return
@@ -264,7 +273,7 @@
             return
         self.length = framing.length
         self.ends_at_close = self.length is None and not framing.chunked and self.status not in (204, 304)
-        # of an answer that is no service nobody needs a long body
+        # the body of a failure is not used: a long one is not waited for
         self.body_unwanted = self.status != 200 and (self.length or 0) > WHOLE
 
     def on_body(self, body: bytes) -> None:
@@ -283,11 +292,12 @@
             self.start_streaming()
 
     def stream_late_answer(self, attempt: Attempt) -> None:
+        """Streams an answer of unknown length that is not complete yet."""
         if self.attempt is attempt and self.sink is None and not self.complete:
             self.start_streaming()
 
     def start_streaming(self) -> None:
-        """From here on the answer goes to the client as it comes, and there is no other attempt."""
+        """Sends the answer to the client as it arrives from now on, which rules out another attempt."""
         attempt = self.attempt
         if attempt is None or attempt.ended or self.body_unwanted:
             return
@@ -302,23 +312,24 @@
         self.pause_if_client_full()
 
     def pause_if_client_full(self) -> None:
+        """Stops reading while the client's buffer is full."""
         if self.paused and self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """The client has room for more."""
+        """Reads on: the client's buffer has space again."""
         if self.paused and self.transport is not None and not self.transport.is_closing():
             self.paused, self.last_progress_at = False, self.pool.clock()
             self.transport.resume_reading()
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
-        interim = 100 <= status < 200  # goes before the real answer
+        interim = 100 <= status < 200  # precedes the final answer
         if not (self.complete or self.invalid_framing or interim):
             self.complete = True
-            self.keep_alive = self.parser.should_keep_alive()  # the parser knows only while in this call
+            self.keep_alive = self.parser.should_keep_alive()  # known to the parser only during this call
 
-    # what the transport tells
+    # callbacks of the transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.dialer.buffer
@@ -329,7 +340,7 @@
     def data_received(self, data: bytes) -> None:
         attempt, self.last_progress_at = self.attempt, self.pool.clock()
         if attempt is None:
-            return self.abort()  # nothing was asked
+            return self.abort()  # there was no request
         try:
             self.feeder.feed(data, lambda: self.in_head)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -339,8 +350,11 @@
             return
         if self.complete:
             self.finish(attempt)
-        elif self.malformed or self.invalid_framing or self.head_size > MAX_HEAD_BYTES or self.trailers > MAX_HEAD_BYTES:
-            # a backend that answers at all may have run the request, however odd the answer is
+        elif (
+            self.malformed or self.invalid_framing
+            or self.head_size > MAX_HEAD_BYTES or self.trailers > MAX_HEAD_BYTES
+        ):
+            # a backend that answers at all may have run the request, however malformed the answer is
             attempt.end(AttemptResult(Outcome.CONNECTION_LOST))
         elif self.body_unwanted:
             attempt.end(AttemptResult(self.failure_outcome()))
@@ -348,32 +362,38 @@
             self.pause_if_client_full()
 
     def finish(self, attempt: Attempt) -> None:
+        """Ends the attempt with a complete answer, and keeps the connection where it is reusable."""
         if self.status == 200:
-            answer = AttemptResult(Outcome.SERVED, b"".join(self.parts), self.units, self.headers)
+            result = AttemptResult(Outcome.SERVED, b"".join(self.parts), self.units, self.headers)
         else:
-            answer = AttemptResult(self.failure_outcome())
+            result = AttemptResult(self.failure_outcome())
         self.pool.answer_received(self)
-        # the connection is free before anybody hears of the answer: the next attempt may want it
-        if self.keep_alive and self.fully_written and not (self.write_pending or self.has_surplus or self.malformed):
+        # the connection is freed before the result is reported, as that may start an attempt which can use it
+        if self.keep_alive and self.fully_written and not (
+            self.write_pending or self.has_surplus or self.malformed
+        ):
             if self.paused:
                 self.resume()
             self.attempt = attempt.connection = None
             self.pool.start_reuse_delay(self)
             self.dialer.loop.call_later(REUSE_DELAY, self.end_reuse_delay)
-        attempt.end(answer)
+        attempt.end(result)
 
     def end_reuse_delay(self) -> None:
+        """Makes the connection available again, if it is still open."""
         if self.is_up():
             self.pool.release(self)
 
     def failure_outcome(self) -> Outcome:
-        """Of an answer that is no service."""
+        """The outcome that an answer other than 200 stands for."""
         return Outcome.REJECTED if self.status in (503, 504) and self.rejected else Outcome.ERROR
 
     def eof_received(self) -> bool:
         attempt = self.attempt
-        if attempt is not None and self.ends_at_close and not (self.in_head or self.complete or self.malformed):
-            self.complete, self.keep_alive = True, False  # its end is the connection's
+        if attempt is not None and self.ends_at_close and not (
+            self.in_head or self.complete or self.malformed
+        ):
+            self.complete, self.keep_alive = True, False
             self.finish(attempt)
         return False
 
@@ -383,91 +403,99 @@
             self.pool.connection_closed(self)
         if attempt is not None:
             self.pool.connection_broke(self, attempt.sent_at)
-            # an unsent rest proves that the backend never had the whole; a write that went through proves
-            # nothing, also not on a kept connection that the backend had closed by then
-            attempt.end(AttemptResult(Outcome.CONNECTION_LOST if self.fully_written else Outcome.NO_CONNECTION))
+            # an unsent rest proves that the backend never had the complete request. A complete write proves
+            # nothing, not even on an idle connection that the backend had closed before
+            attempt.end(AttemptResult(
+                Outcome.CONNECTION_LOST if self.fully_written else Outcome.NO_CONNECTION))
 
 
 def read_units(value: bytes) -> float:
-    """The units of a Billed-Units field; nought where it holds no decimal number in range."""
-    if not UNITS_PATTERN.fullmatch(value.strip()):  # float() takes more: 1_0
+    """The units of a Billed-Units field; 0 where it is not a decimal number in range."""
+    if not UNITS_PATTERN.fullmatch(value.strip()):  # float() accepts more: 1_0
         return 0.0
     units = float(value)
     return units if 0.0 < units < MAX_BILLED_UNITS else 0.0
 
 
 class Dialer:
-    """Makes the pool's connections of sockets, and looks after them."""
+    """Opens the pool's connections over TCP, and closes those that stall or expire."""
 
     def __init__(
-        self, clock: Callable[[], float], dial_timeout: float, keepalive: float, most: int,
+        self, clock: Callable[[], float], dial_timeout: float, keepalive: float, max_connections: int,
         settings: PoolSettings | None = None, seed: int = 0,
     ) -> None:
-        """Seconds; `most`: connections and opens at a time."""
+        """`dial_timeout`, `keepalive`: seconds; `max_connections`: open and being opened, at a time."""
         self.dial_timeout = dial_timeout
         self.loop = asyncio.get_running_loop()
-        self.pool = Pool(clock, self.open, most, keepalive, settings or PoolSettings(), seed)
-        self.buffer = memoryview(bytearray(READ))  # what is read is copied out before anything else is
-        self.attempts_written = 0  # attempts that were written whole
+        self.pool = Pool(
+            clock, self.open, max_connections, keepalive, settings or PoolSettings(), seed)
+        self.buffer = memoryview(bytearray(READ))  # shared by all connections: what is read is copied at once
+        self.attempts_written = 0  # number of attempts that were completely written
         self.scan_timer = self.loop.call_later(IDLE_SCAN_INTERVAL, self.scan)
 
     def start(self, attempt: Attempt) -> None:
-        if attempt.upload is None:  # else its time begins with the last byte
+        """Starts an attempt, whose end goes to its `on_done`."""
+        if attempt.upload is None:  # otherwise its time starts with the last byte of the body
             self.set_timer(attempt, min(attempt.until, attempt.write_by))
         attempt.pool = self.pool
         self.pool.start(attempt)
 
     def set_timer(self, attempt: Attempt, end: float) -> None:
+        """Lets the attempt time out at `end`."""
         if attempt.timer is not None:
             attempt.timer.cancel()
-        left = max(end - self.pool.clock(), 0.0)
-        attempt.timer = self.loop.call_later(left, attempt.time_out)
+        remaining = max(end - self.pool.clock(), 0.0)
+        attempt.timer = self.loop.call_later(remaining, attempt.time_out)
 
     def open(self, backend: str, address: Address) -> PooledConnection:
-        made = BackendConnection(self, self.pool, backend)
-        made.connect_task = self.loop.create_task(self.connect(made, address))
-        return made
+        """Creates a connection and starts to connect it."""
+        connection = BackendConnection(self, self.pool, backend)
+        connection.connect_task = self.loop.create_task(self.connect(connection, address))
+        return connection
 
-    async def connect(self, made: BackendConnection, address: Address) -> None:
+    async def connect(self, connection: BackendConnection, address: Address) -> None:
+        """Connects within `dial_timeout`, and reports success or failure to the pool."""
         failure: OpenFailure | None = None
         try:
             async with asyncio.timeout(self.dial_timeout):
-                await self.dial(made, address)
+                await self.dial(connection, address)
         except TimeoutError:
             failure = OpenFailure.TIMED_OUT
         except OSError as error:
             failure = OpenFailure.LOCAL if error.errno in LOCAL_ERRORS else OpenFailure.REFUSED
         finally:
-            made.connect_task = None
-            if failure is None and made.is_up():
-                self.pool.opening_succeeded(made)
+            connection.connect_task = None
+            if failure is None and connection.is_up():
+                self.pool.opening_succeeded(connection)
             else:
-                self.pool.opening_failed(made, failure or OpenFailure.REFUSED)
-                made.abort()
-            if made.transport is None:
-                self.pool.connection_closed(made)
+                self.pool.opening_failed(connection, failure or OpenFailure.REFUSED)
+                connection.abort()
+            if connection.transport is None:
+                self.pool.connection_closed(connection)
 
-    async def dial(self, made: BackendConnection, address: Address) -> None:
-        """Connects, and again after a failure here that may last for a moment only."""
+    async def dial(self, connection: BackendConnection, address: Address) -> None:
+        """Connects; retries after local errors that may be transient."""
         for wait in DIAL_RETRY_DELAYS:
             try:
-                await self.loop.create_connection(lambda: made, *address)
+                await self.loop.create_connection(lambda: connection, *address)
                 return
             except OSError as error:
                 if error.errno not in TRANSIENT_ERRORS:
                     raise
                 self.pool.figures["pool open again"] += 1
                 await asyncio.sleep(wait)
-        await self.loop.create_connection(lambda: made, *address)
+        await self.loop.create_connection(lambda: connection, *address)
 
     def scan(self) -> None:
+        """Ends stalled attempts and closes expired connections, periodically."""
         now = self.pool.clock()
-        for link in list(self.pool.connections):
-            if isinstance(link, BackendConnection):
-                link.check_progress(now)
+        for connection in list(self.pool.connections):
+            if isinstance(connection, BackendConnection):
+                connection.check_progress(now)
         self.pool.close_expired()
         self.scan_timer = self.loop.call_later(IDLE_SCAN_INTERVAL, self.scan)
 
     def close(self) -> None:
+        """Closes all connections."""
         self.scan_timer.cancel()
         self.pool.close_all()
