--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -114,8 +114,8 @@
             self.end(AttemptResult(Outcome.NO_CONNECTION))  # the backend cannot have the complete request
         elif connection is not None:
             self.end(AttemptResult(Outcome.TIMED_OUT))
-            # connections to a machine that lost its network stay open but silent: an attempt written to one may
-            # have run, while an attempt whose connection could not be opened is known not to have run
+            # connections to a machine that lost its network stay open but silent: an attempt written to one
+            # may have run, while an attempt whose connection could not be opened is known not to have run
             connection.pool.drop_idle(self.backend)
         else:  # it was never written, so it is known not to have run
             self.end(AttemptResult(pool.why_waiting(self) if pool is not None else Outcome.NOT_SENT))
