--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""How attempts end, over loopback sockets: what is known not to have run is told from what may have."""
+"""Outcomes of attempts over loopback sockets: what is known not to have run, and what may have run."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Sender:
-    """A pool with one backend, and attempts whose ends are waited for."""
+    """Starts attempts to one backend and waits for their results."""
 
     def __init__(self, dialer: Dialer) -> None:
         self.dialer, self.pool = dialer, dialer.pool
@@ -48,8 +48,8 @@
         return outcome
 
     async def rested(self) -> None:
-        """Waits until the connections whose answers are there may be used again."""
-        while any(place.in_reuse_delay for place in self.pool.backends.values()):
+        """Waits until no connection is in its reuse delay."""
+        while any(backend_pool.in_reuse_delay for backend_pool in self.pool.backends.values()):
             await asyncio.sleep(0.001)
 
     def set_clock(self, clock: Callable[[], float]) -> None:
@@ -112,11 +112,11 @@
     (message(200, b"x", "Content-Length: 7"), Outcome.CONNECTION_LOST),
     (message(200, b"x", "Transfer-Encoding: chunked"), Outcome.CONNECTION_LOST),
 ])
-def test_an_answer_tells_whether_the_attempt_ran(text: bytes, outcome: Outcome) -> None:
+def test_the_answer_determines_the_outcome(text: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome() is outcome
-            assert await sender.outcome() is Outcome.SERVED  # whatever it was, the next attempt is not hurt
+            assert await sender.outcome() is Outcome.SERVED  # in any case the next attempt is not affected
             assert len(peer.seen) == 2
 
     run(test)
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("second", [
     message(200, b"x"), message(200, b"y"), message(500, b"", "X-Rejected: 1"),
 ])
-def test_of_two_answers_to_one_request_the_first_counts_alone(second: bytes) -> None:
+def test_of_two_answers_to_one_request_only_the_first_counts(second: bytes) -> None:
     async def test() -> None:
         async with sending(says(message(200, b"x", "Billed-Units: 3") + second)) as (sender, peer):
             answer = await sender.start()[1]
@@ -135,7 +135,7 @@
     run(test)
 
 
-def test_an_interim_answer_says_nothing_of_the_real_one() -> None:
+def test_headers_of_an_interim_answer_do_not_apply_to_the_final_one() -> None:
     async def test() -> None:
         lines = b"X-Rejected: 1\r\nBilled-Units: 7\r\nContent-Type: text/plain\r\n"
         interim = b"HTTP/1.1 103 Early Hints\r\n" + lines + b"\r\n"
@@ -148,8 +148,8 @@
 
 
 @pytest.mark.parametrize("endless", [b"X-Pad: pppppppp\r\n", b"\r\nHTTP/1.1 103 Early Hints\r\n"])
-def test_a_head_that_does_not_end_is_no_answer(endless: bytes) -> None:
-    # it took the whole time-out, in which another backend could have answered
+def test_an_endless_head_ends_the_attempt(endless: bytes) -> None:
+    # waiting for its end would take the attempt's full time, in which another backend can answer
     async def pads(writer: asyncio.StreamWriter, asked: Asked) -> None:
         writer.write(b"HTTP/1.1 103 Early Hints\r\n")
         while not writer.is_closing():
@@ -163,7 +163,7 @@
     run(test)
 
 
-def test_an_answer_may_end_with_its_connection() -> None:
+def test_an_answer_may_end_where_the_connection_is_closed() -> None:
     async def test() -> None:
         async with sending(says(b"HTTP/1.1 200 OK\r\n\r\nab", close=True)) as (sender, _):
             answer = await sender.start(5.0)[1]
@@ -176,7 +176,7 @@
     cuts, says(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", close=True), says(b"", close=True),
     says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", close=True),
 ])
-def test_a_connection_that_breaks_after_the_write_may_have_run(step: Step) -> None:
+def test_an_attempt_may_have_run_if_its_connection_breaks_after_the_write(step: Step) -> None:
     async def test() -> None:
         async with sending(step) as (sender, _):
             assert await sender.outcome() is Outcome.CONNECTION_LOST
@@ -184,7 +184,7 @@
     run(test)
 
 
-def test_a_kept_connection_that_is_dead_after_the_write_is_no_free_retry() -> None:
+def test_an_attempt_on_an_idle_connection_that_was_dead_may_have_run() -> None:
     async def test() -> None:
         async with sending(says(message(200)), cuts) as (sender, peer):
             assert await sender.outcome() is Outcome.SERVED
@@ -194,7 +194,7 @@
     run(test)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_an_attempt_whose_connection_is_refused_never_ran() -> None:
     async def test() -> None:
         async with sending() as (sender, peer):
             await peer.stop()
@@ -203,8 +203,8 @@
     run(test)
 
 
-def test_a_request_that_was_not_written_whole_never_ran() -> None:
-    # the kernel takes a part of a large body; the rest is still here when the connection breaks
+def test_a_partly_written_request_never_ran() -> None:
+    # the kernel accepts a part of a large body; the rest is not yet written when the connection breaks
     async def test() -> None:
         started = asyncio.Event()
 
@@ -224,7 +224,7 @@
     run(test)
 
 
-def test_time_out_and_cancel_close_the_connection() -> None:
+def test_timeout_and_cancellation_close_the_connection() -> None:
     async def test() -> None:
         async with sending(says(b""), says(b"")) as (sender, peer):
             assert await sender.outcome(0.05) is Outcome.TIMED_OUT
@@ -240,7 +240,7 @@
 
 @asynccontextmanager
 async def hanging() -> AsyncIterator[tuple[Sender, socket.socket]]:
-    """A backend whose connections do not come up until its full backlog is accepted."""
+    """A backend with a full backlog: connecting takes until a connection is accepted there."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind((HOST, 0))
         listener.listen(0)
@@ -252,8 +252,8 @@
 
 
 @pytest.mark.parametrize("way", ["drain", "gone", "end", "time-out"])
-def test_an_attempt_that_waits_for_its_connection_is_not_written_afterwards(way: str) -> None:
-    # a drain's grace and a request's end pass while a dial is under way: the bytes must not follow them
+def test_an_attempt_that_ended_while_connecting_is_not_written(way: str) -> None:
+    # the grace of a drain or the request's deadline passes while connecting: nothing may be written after it
     async def test() -> None:
         async with hanging() as (sender, listener):
             attempt, ended = sender.start(0.05 if way == "time-out" else 20.0)
@@ -266,7 +266,7 @@
             elif way == "end":
                 attempt.end(AttemptResult(Outcome.NOT_SENT))
             assert (await ended).outcome.never_ran
-            sender.pool.retire("b")  # what is being opened may be kept for others
+            sender.pool.retire("b")  # the connection being opened may be kept for others
             async with asyncio.timeout(SOON):
                 while sender.pool.connections:
                     await asyncio.sleep(0.001)
@@ -275,7 +275,7 @@
     run(test)
 
 
-def test_a_dial_that_does_not_come_up_ends_in_time() -> None:
+def test_connecting_times_out() -> None:
     async def test() -> None:
         async with hanging() as (sender, _):
             sender.dialer.dial_timeout = 0.05
@@ -284,7 +284,7 @@
     run(test)
 
 
-def test_idle_connections_are_closed_well_before_the_backend_does() -> None:
+def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def test() -> None:
         now = 0.0
         async with sending(keepalive=10.0) as (sender, peer):
@@ -302,8 +302,8 @@
 
 
 @pytest.mark.parametrize("late", [message(200, b"of nobody"), b""])
-def test_what_came_on_an_idle_connection_unread_is_not_the_next_answer(late: bytes) -> None:
-    # written while this process had its turn elsewhere: the kernel has it and the loop has not looked yet
+def test_unread_bytes_on_an_idle_connection_are_not_the_next_answer(late: bytes) -> None:
+    # the bytes are in the kernel's buffer, but the event loop has not read them yet
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listener:
@@ -334,8 +334,8 @@
     run(test)
 
 
-def test_connections_stand_idle_only_as_long_as_they_were_found_to_bear() -> None:
-    # something on the path may drop idle connections long before the backend does, and tell nobody
+def test_the_idle_time_adapts_to_what_connections_survive() -> None:
+    # a device on the path may drop idle connections silently, long before the backend closes them
     async def test() -> None:
         now = 0.0
         served = says(message(200, b"x"))
@@ -343,19 +343,19 @@
             sender.set_clock(lambda: now)
             assert await sender.outcome() is Outcome.SERVED
             now = 1.0
-            assert await sender.outcome() is Outcome.CONNECTION_LOST  # it was dead by then
+            assert await sender.outcome() is Outcome.CONNECTION_LOST  # it had been dropped
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
             now = 1.4
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 2  # borne
+            assert await sender.outcome() is Outcome.SERVED and peer.connections == 2  # survived
             now = 2.0
-            assert await sender.outcome() is Outcome.SERVED and peer.connections == 2  # so longer is tried
+            assert await sender.outcome() is Outcome.SERVED and peer.connections == 2  # so more is tried
             now = 2.9
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 3
 
     run(test)
 
 
-def test_a_connection_that_breaks_over_its_work_says_nothing_of_idle_times() -> None:
+def test_a_break_during_an_attempt_does_not_change_the_idle_time() -> None:
     async def test() -> None:
         now = 0.0
         async with sending(says(message(200)), says(b"")) as (sender, peer):
@@ -373,9 +373,9 @@
     run(test)
 
 
-def test_a_backend_that_was_silent_or_restarted_is_dialled_anew() -> None:
-    # a cut-off machine keeps connections open and silent: what is written to one that is left may have run,
-    # a dial that does not come up can't have
+def test_new_connections_are_opened_after_a_timeout_or_a_backend_restart() -> None:
+    # connections to a machine that lost its network stay open but silent: an attempt written to one of them
+    # may have run, while one whose connection could not be opened cannot have run
     async def test() -> None:
         served, silent = says(message(200)), says(b"")
         async with sending(silent, silent, served, served, served) as (sender, peer):
@@ -383,7 +383,7 @@
             await peer.until(lambda: len(peer.seen) == 1)
             _, second = sender.start(5.0)
             await peer.until(lambda: len(peer.seen) == 2)
-            assert await sender.outcome() is Outcome.SERVED  # a third connection, kept
+            assert await sender.outcome() is Outcome.SERVED  # on a third connection, which becomes idle
             assert sender.pool.idle_count() == 1
             attempt = next(c.attempt for c in links(sender.pool) if c.attempt is not None)
             attempt.time_out()
@@ -395,7 +395,7 @@
     run(test)
 
 
-def test_the_pool_is_bounded_and_idle_connections_make_way() -> None:
+def test_the_pool_is_bounded_and_evicts_idle_connections() -> None:
     async def test() -> None:
         async with sending(says(b""), says(b"")) as (sender, peer):
             sender.pool.max_connections = 2
@@ -405,7 +405,8 @@
             third, ended = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
             third.end(AttemptResult(Outcome.CANCELLED))
-            assert await sender.start_at("c") is Outcome.NOT_SENT  # nothing there can fall free: no room here
+            # the pool is full, and c has no connection that could become free
+            assert await sender.start_at("c") is Outcome.NOT_SENT
             first.end(AttemptResult(Outcome.CANCELLED))
             await peer.until(lambda: peer.ended == 1)
             assert await sender.outcome() is Outcome.SERVED
@@ -419,7 +420,7 @@
     b"HTTP/1.0 200 X\r\nContent-Length: 1\r\n\r\nx", message(200, b"x", "Connection: close"),
     message(200, b"x") + b"H", message(200, b"x") + message(200, b"y"),
 ])
-def test_a_connection_is_used_again_only_after_a_clean_end(text: bytes) -> None:
+def test_a_connection_is_reused_only_after_a_correct_answer(text: bytes) -> None:
     async def test() -> None:
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome() is Outcome.SERVED
@@ -430,7 +431,7 @@
     run(test)
 
 
-def test_a_backend_that_takes_no_more_is_told_with_what_is_up() -> None:
+def test_a_backend_that_refuses_is_reported_with_its_open_connections() -> None:
     async def test() -> None:
         async with sending(says(message(200)), says(b"")) as (sender, peer):
             told: list[tuple[str, int]] = []
@@ -439,14 +440,14 @@
             busy, _ = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
             assert peer.server is not None
-            peer.server.close()  # the one that is up goes on
+            peer.server.close()  # the open connection stays open
             assert await sender.outcome() is Outcome.NO_CONNECTION and told == [("b", 1)]
             busy.end(AttemptResult(Outcome.CANCELLED))
 
     run(test)
 
 
-def test_out_of_descriptors_says_nothing_of_the_backend() -> None:
+def test_running_out_of_descriptors_is_a_local_failure() -> None:
     async def test() -> None:
         async with sending() as (sender, peer):
             with no_descriptors():
@@ -457,7 +458,7 @@
     run(test)
 
 
-def test_nothing_is_left_of_ten_thousand_opens_cancels_and_faults() -> None:
+def test_ten_thousand_opens_cancellations_and_faults_leak_nothing() -> None:
     async def test() -> None:
         dice = random.Random(7)
         served, silent = says(message(200)), says(b"")
@@ -484,7 +485,9 @@
                 while sender.pool.connections or peer.open:
                     await asyncio.sleep(0.01)
             after = len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
-            assert after == before and not sender.pool.backends_waiting and sender.pool.backends.keys() == {"b", "nowhere"}
+            assert (
+                after == before and not sender.pool.backends_waiting
+                and sender.pool.backends.keys() == {"b", "nowhere"})
             assert not any(p.size() or p.waiting for p in sender.pool.backends.values())
             counts = sender.pool.figures
             assert counts["pool opened"] + counts["pool open refused"] > 1000
@@ -495,12 +498,12 @@
 
 
 @pytest.mark.parametrize("late", [0.0, 0.001, 0.004])
-def test_a_second_answer_that_comes_late_is_not_the_next_attempts(
+def test_a_late_second_answer_is_not_taken_for_the_next_attempts(
     late: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Measured on a day of spoilt answers: they come 3 to 4 ms after the first."""
+    """A faulty backend sent second answers 3 to 4 ms after the first ones."""
     assert REUSE_DELAY >= 2 * 0.004
-    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)  # whatever the machine is busy with
+    monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)  # long enough on a busy machine
 
     async def answer_twice(writer: asyncio.StreamWriter, asked: Asked) -> None:
         writer.write(message(200, b"first"))
@@ -518,26 +521,26 @@
     run(test)
 
 
-def test_an_attempt_right_after_an_answer_waits_for_its_connection_and_opens_none() -> None:
+def test_an_attempt_right_after_an_answer_waits_for_the_same_connection() -> None:
     async def test() -> None:
         async with sending() as (sender, peer):
             for _ in range(5):
                 assert (await sender.start()[1]).outcome is Outcome.SERVED
             assert peer.connections == 1 and sender.pool.figures["pool opened"] == 1
             await sender.rested()
-            place = sender.pool.backends["b"]
-            assert len(place.idle) == 1 and not place.in_use
+            backend_pool = sender.pool.backends["b"]
+            assert len(backend_pool.idle) == 1 and not backend_pool.in_use
 
     run(test)
 
 
 @pytest.mark.parametrize("end", ["reset", "close", "half a line"])
-def test_what_ends_a_resting_connection_lets_the_attempt_that_waits_for_it_open_another(
+def test_if_a_connection_fails_in_its_reuse_delay_the_waiting_attempt_opens_another(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)
 
-    async def spoil(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    async def fail_afterwards(writer: asyncio.StreamWriter, asked: Asked) -> None:
         writer.write(message(200, b"first"))
         await asyncio.sleep(0.002)
         if end == "half a line":
@@ -548,11 +551,11 @@
             writer.close()
 
     async def test() -> None:
-        async with sending(spoil, says(message(200, b"second"))) as (sender, peer):
+        async with sending(fail_afterwards, says(message(200, b"second"))) as (sender, peer):
             assert (await sender.start()[1]).body == b"first"
             assert (await sender.start()[1]).body == b"second"
             await sender.rested()
-            place = sender.pool.backends["b"]
-            assert peer.connections == 2 and len(place.idle) == 1 and not place.in_use
+            backend_pool = sender.pool.backends["b"]
+            assert peer.connections == 2 and len(backend_pool.idle) == 1 and not backend_pool.in_use
 
     run(test)
