--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -1,4 +1,4 @@
-"""Counter calls over aggregators: who gets which, and what becomes of them when members change."""
+"""Counter calls over aggregators: which member gets a call, and what happens when members change."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from tests.bed import Bed, request, roomy_settings, run, with_bed
 from tests.peers import SOON, CounterPeer, DiscoveryPeer, entry, settings_text
 
-PATIENCE = 1.5  # seconds: long for loopback, also on a machine that is busy with other things
-SHORT = 0.3  # for a test that waits for its end
-UNLIKELY = 0.001  # chance below which a spread is not taken for an even one
+TIMEOUT = 1.5  # seconds: long enough for loopback on a busy machine
+SHORT_TIMEOUT = 0.3  # seconds, for a test that waits for it
+MIN_P_VALUE = 0.001  # below this a distribution does not count as even
 CUSTOMERS = [f"{number:016x}" for number in range(6000)]
-NOWHERE = (HOST, 9)  # of a list service that nobody asks in the tests without sockets
-Told = Callable[[CounterCallEnded], None]
+UNUSED_ADDRESS = (HOST, 9)  # of a list service that is not called in tests without sockets
+OnResult = Callable[[CounterCallEnded], None]
 
 
 def listing(names: list[str], kind: ListKind = ListKind.FULL) -> Listing:
-    """A list of serving members; their addresses are never dialled."""
+    """A list of serving members; nothing connects to their addresses."""
     entries = [entry(name, f"{HOST}:{1000 + place}") for place, name in enumerate(names)]
     return read_listing({"generation": 1, "reset": True, "instances": entries}, kind)
 
@@ -44,12 +44,12 @@
     return [f"aggregator-{number}" for number in range(count)]
 
 
-def chosen(listed: list[str]) -> dict[str, str]:
-    """The member of each customer, by a router that has this list."""
+def members_chosen(listed: list[str]) -> dict[str, str]:
+    """The member that a router with this list chooses for each customer."""
     found: dict[str, str] = {}
 
     async def choose() -> None:
-        router = AggregatorRouter(lambda: 0.0, [NOWHERE], PATIENCE, 1.0, lambda counted: None, 64)
+        router = AggregatorRouter(lambda: 0.0, [UNUSED_ADDRESS], TIMEOUT, 1.0, lambda result: None, 64)
         router.update_members(listing(listed))
         for customer in CUSTOMERS:
             member = router.member_of(customer)
@@ -62,21 +62,21 @@
 
 
 class Fleet:
-    """Some aggregators, their list service, and one gateway's router."""
+    """Aggregators, their list service, and the router of one gateway."""
 
-    def __init__(self, count: int, patience: float) -> None:
-        self.patience = patience
+    def __init__(self, count: int, timeout: float) -> None:
+        self.timeout = timeout
         self.peers = {name: CounterPeer() for name in names(count)}
         self.directory = DiscoveryPeer()
-        self.told: list[CounterCallEnded] = []
+        self.results: list[CounterCallEnded] = []
         self.more = asyncio.Condition()
         self.router: AggregatorRouter
 
-    def make_router(self, connections: int = 64, told: Told | None = None) -> AggregatorRouter:
+    def make_router(self, connections: int = 64, on_result: OnResult | None = None) -> AggregatorRouter:
         host, _, port = self.directory.address.rpartition(":")
         return AggregatorRouter(
-            asyncio.get_running_loop().time, [(host, int(port))], self.patience, 1.0,
-            told or self.told.append, connections)
+            asyncio.get_running_loop().time, [(host, int(port))], self.timeout, 1.0,
+            on_result or self.results.append, connections)
 
     def entry(self, name: str, state: str = "SERVING") -> dict[str, Any]:
         return entry(name, self.peers[name].address, state)
@@ -90,17 +90,17 @@
         await self.until(lambda: len(self.router.members) == count)
 
     async def outcomes(self, count: int) -> Tally[Outcome]:
-        """How the first so many calls ended; none may be told of twice."""
-        await self.until(lambda: len(self.told) >= count)
-        assert len(self.told) == count
-        return Tally(counted.outcome for counted in self.told)
+        """The outcomes of the first `count` calls; none may be reported twice."""
+        await self.until(lambda: len(self.results) >= count)
+        assert len(self.results) == count
+        return Tally(result.outcome for result in self.results)
 
     def add(self, customers: list[str], amount: float = 1.0) -> None:
         for customer in customers:
             self.router.add(f"{customer}.7", amount, 60.0)
 
     def sums(self) -> Tally[str]:
-        """What all aggregators together were told, by name."""
+        """The units that all aggregators together received, by name."""
         total: Tally[str] = Tally()
         for peer in self.peers.values():
             for name, amount in peer.calls:
@@ -119,9 +119,9 @@
 
 @asynccontextmanager
 async def fleet(
-    count: int, connections: int = 64, patience: float = PATIENCE
+    count: int, connections: int = 64, timeout: float = TIMEOUT
 ) -> AsyncIterator[Fleet]:
-    made = Fleet(count, patience)
+    made = Fleet(count, timeout)
     for peer in (*made.peers.values(), made.directory):
         await peer.start()
     made.directory.entries = {name: made.entry(name) for name in made.peers}
@@ -136,25 +136,25 @@
 
 
 @pytest.mark.parametrize("count", [2, 6, 50])
-def test_customers_are_spread_evenly_over_the_members(count: int) -> None:
-    spread = Tally(chosen(names(count)).values())
+def test_customers_are_distributed_evenly_over_the_members(count: int) -> None:
+    spread = Tally(members_chosen(names(count)).values())
     assert len(spread) == count
-    assert chisquare(list(spread.values())).pvalue > UNLIKELY
+    assert chisquare(list(spread.values())).pvalue > MIN_P_VALUE
 
 
-def test_a_member_that_leaves_moves_only_its_own_customers_evenly() -> None:
-    before, after = chosen(names(6)), chosen(names(5))
+def test_only_the_customers_of_a_removed_member_move_and_evenly() -> None:
+    before, after = members_chosen(names(6)), members_chosen(names(5))
     moved = {customer for customer in CUSTOMERS if before[customer] != after[customer]}
     assert moved == {customer for customer in CUSTOMERS if before[customer] == "aggregator-5"}
     spread = Tally(after[customer] for customer in moved)
-    assert chisquare(list(spread.values())).pvalue > UNLIKELY
+    assert chisquare(list(spread.values())).pvalue > MIN_P_VALUE
 
 
-def test_gateways_choose_alike_whatever_the_order_of_their_lists() -> None:
-    assert chosen(names(6)) == chosen(names(6)[::-1])
+def test_the_choice_does_not_depend_on_the_order_of_the_list() -> None:
+    assert members_chosen(names(6)) == members_chosen(names(6)[::-1])
 
 
-def test_calls_reach_their_members_in_order_and_are_answered_once() -> None:
+def test_calls_reach_their_members_in_order_and_have_one_result_each() -> None:
     async def test() -> None:
         async with fleet(6) as made:
             customers = CUSTOMERS[:200]
@@ -170,14 +170,14 @@
                 assert all(amounts == [1.0, 2.0, 3.0, 4.0, 5.0] for amounts in order.values())
             assert len(where) == 200 and all(len(peers) == 1 for peers in where.values())
             totals: dict[str, list[float]] = {}
-            for counted in made.told:
-                totals.setdefault(counted.name, []).append(counted.total)
+            for result in made.results:
+                totals.setdefault(result.name, []).append(result.total)
             assert all(total == [1.0, 3.0, 6.0, 10.0, 15.0] for total in totals.values())
 
     run(test)
 
 
-def test_connections_are_opened_only_where_calls_go() -> None:
+def test_connections_are_opened_only_to_members_with_calls() -> None:
     async def test() -> None:
         async with fleet(6) as made:
             assert sum(peer.connections for peer in made.peers.values()) == 0
@@ -189,7 +189,7 @@
     run(test)
 
 
-def test_a_killed_member_fails_its_own_calls_only_until_it_is_back() -> None:
+def test_only_calls_to_a_killed_member_fail_until_its_return() -> None:
     async def test() -> None:
         async with fleet(3) as made:
             gone, port = made.peers["aggregator-1"], made.peers["aggregator-1"].address.rpartition(":")[2]
@@ -197,122 +197,123 @@
             made.add(here + there)
             assert await made.outcomes(20) == {Outcome.SERVED: 20}
             await gone.stop()
-            await asyncio.sleep(0.02)  # the ends of its connections arrive
-            made.told.clear()
+            await asyncio.sleep(0.02)  # the router sees the closing of its connections
+            made.results.clear()
             made.add(here + there)
             assert await made.outcomes(20) == {Outcome.SERVED: 10, Outcome.NO_CONNECTION: 10}
-            assert {c.name.partition(".")[0] for c in made.told if c.outcome is Outcome.SERVED} == set(there)
+            assert {
+                c.name.partition(".")[0] for c in made.results if c.outcome is Outcome.SERVED} == set(there)
             await gone.start(int(port))
-            made.told.clear()
+            made.results.clear()
             made.add(here + there)
             assert await made.outcomes(20) == {Outcome.SERVED: 20}
 
     run(test)
 
 
-def test_with_no_member_listed_calls_end_at_once_and_go_nowhere_else() -> None:
+def test_without_members_calls_fail_at_once() -> None:
     async def test() -> None:
         async with fleet(2) as made:
             made.directory.entries = {}
             made.directory.generation = 5
             made.router.update_members(listing([]))
             made.add(CUSTOMERS[:20])
-            assert len(made.told) == 20  # without a turn of the loop
-            assert {counted.outcome for counted in made.told} == {Outcome.NO_CONNECTION}
+            assert len(made.results) == 20  # without a turn of the event loop
+            assert {result.outcome for result in made.results} == {Outcome.NO_CONNECTION}
             assert not any(peer.calls for peer in made.peers.values())
 
     run(test)
 
 
-def test_a_silent_list_keeps_the_members_that_were_known() -> None:
+def test_members_are_kept_while_the_list_service_is_down() -> None:
     async def test() -> None:
         async with fleet(3) as made:
             made.directory.silent = True
             await made.directory.stop()
-            await asyncio.sleep(0.2)  # some calls to it fail meanwhile
+            await asyncio.sleep(0.2)  # some watches fail meanwhile
             made.add(CUSTOMERS[:30])
             assert await made.outcomes(30) == {Outcome.SERVED: 30}
 
     run(test)
 
 
-def test_before_the_first_list_calls_end_at_once() -> None:
+def test_calls_before_the_first_list_fail_at_once() -> None:
     async def test() -> None:
-        told: list[CounterCallEnded] = []
-        router = AggregatorRouter(lambda: 0.0, [NOWHERE], PATIENCE, 1.0, told.append, 64)
+        results: list[CounterCallEnded] = []
+        router = AggregatorRouter(lambda: 0.0, [UNUSED_ADDRESS], TIMEOUT, 1.0, results.append, 64)
         router.add("c1.7", 1.0, 60.0)
-        assert [counted.outcome for counted in told] == [Outcome.NO_CONNECTION]
+        assert [result.outcome for result in results] == [Outcome.NO_CONNECTION]
         router.close()
 
     run(test)
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_a_member_that_leaves_answers_what_is_out_and_gets_no_more(state: str) -> None:
+def test_a_removed_member_answers_pending_calls_and_gets_no_further_ones(state: str) -> None:
     async def test() -> None:
         async with fleet(3) as made:
-            leaver = made.peers["aggregator-1"]
+            leaving = made.peers["aggregator-1"]
             here = made.customers_of("aggregator-1", 10)
-            leaver.free.clear()
+            leaving.free.clear()
             made.add(here)
-            await made.until(lambda: bool(leaver.calls))
+            await made.until(lambda: bool(leaving.calls))
             await made.directory.change(made.entry("aggregator-1", state))
             await made.listed(2)
-            leaver.free.set()
+            leaving.free.set()
             assert await made.outcomes(10) == {Outcome.SERVED: 10}
             made.add(here)
             assert await made.outcomes(20) == {Outcome.SERVED: 20}
-            assert len(leaver.calls) == 10
-            await made.until(lambda: not leaver.open and not made.router.former_counters)
+            assert len(leaving.calls) == 10
+            await made.until(lambda: not leaving.open and not made.router.former_counters)
 
     run(test)
 
 
-def test_ends_for_one_name_are_told_in_order_though_its_member_changed() -> None:
-    # the module takes the first end for a name as that of its first call for it
+def test_results_for_one_name_stay_in_order_when_its_member_changes() -> None:
+    # the decision module matches the results for a name to its calls by their order
     async def test() -> None:
         async with fleet(2) as made:
-            leaver = made.peers["aggregator-1"]
+            leaving = made.peers["aggregator-1"]
             here = made.customers_of("aggregator-1", 5)
-            leaver.free.clear()
+            leaving.free.clear()
             made.add(here, 1.0)
-            await made.until(lambda: bool(leaver.calls))
+            await made.until(lambda: bool(leaving.calls))
             await made.directory.change(made.entry("aggregator-1", "DRAINING"))
             await made.listed(1)
             made.add(here, 2.0)
             await made.until(lambda: len(made.peers["aggregator-0"].calls) == 5)
             made.router.update_members(listing([]))
-            made.add(here, 4.0)  # ends at once, and is told of last
+            made.add(here, 4.0)  # ends at once, but is reported last
             await asyncio.sleep(0.02)
-            assert not made.told
-            leaver.free.set()
+            assert not made.results
+            leaving.free.set()
             await made.outcomes(15)
             for customer in here:
-                ends = [(c.outcome, c.total) for c in made.told if c.name == f"{customer}.7"]
+                ends = [(c.outcome, c.total) for c in made.results if c.name == f"{customer}.7"]
                 assert ends == [(Outcome.SERVED, 1.0), (Outcome.SERVED, 2.0), (Outcome.NO_CONNECTION, 0.0)]
             assert not made.router.unreported_calls
 
     run(test)
 
 
-def test_what_a_leaver_does_not_answer_ends_with_its_patience_once() -> None:
+def test_calls_that_a_removed_member_does_not_answer_time_out_once() -> None:
     async def test() -> None:
-        async with fleet(2, patience=SHORT) as made:
-            leaver = made.peers["aggregator-1"]
-            leaver.free.clear()
+        async with fleet(2, timeout=SHORT_TIMEOUT) as made:
+            leaving = made.peers["aggregator-1"]
+            leaving.free.clear()
             made.add(made.customers_of("aggregator-1", 5))
-            await made.until(lambda: bool(leaver.calls))
+            await made.until(lambda: bool(leaving.calls))
             await made.directory.change(made.entry("aggregator-1", "DRAINING"))
             await made.listed(1)
             assert await made.outcomes(5) == {Outcome.TIMED_OUT: 5}
-            leaver.free.set()
-            await asyncio.sleep(2 * SHORT)
-            assert len(made.told) == 5 and not made.router.former_counters
+            leaving.free.set()
+            await asyncio.sleep(2 * SHORT_TIMEOUT)
+            assert len(made.results) == 5 and not made.router.former_counters
 
     run(test)
 
 
-def test_a_member_at_another_address_is_called_there() -> None:
+def test_a_member_is_called_at_its_new_address() -> None:
     async def test() -> None:
         async with fleet(2) as made:
             here = made.customers_of("aggregator-1", 5)
@@ -331,17 +332,17 @@
     run(test)
 
 
-def test_connections_stay_within_their_bound_and_all_members_are_used() -> None:
+def test_connections_are_bounded_and_all_members_are_used() -> None:
     async def test() -> None:
         async with fleet(50, connections=9) as made:
             most = 0
             for number in range(60):
                 made.add(CUSTOMERS[number * 8:number * 8 + 8])
                 most = max(most, sum(m.counter is not None for m in made.router.members.values()))
-                await made.until(lambda: len(made.told) >= (number + 1) * 8)  # noqa: B023
-                # the bound is on what is open at once; those unused for a patience make way
+                await made.until(lambda: len(made.results) >= (number + 1) * 8)  # noqa: B023
+                # the limit is on open connections; those unused for a call timeout are evicted
                 for member in made.router.members.values():
-                    member.last_used_at -= 2 * PATIENCE
+                    member.last_used_at -= 2 * TIMEOUT
                 await asyncio.sleep(0)
                 assert sum(len(peer.open) for peer in made.peers.values()) <= 9
             assert most == 8
@@ -351,7 +352,7 @@
     run(test)
 
 
-def test_beyond_the_bound_calls_end_at_once_while_all_connections_wait() -> None:
+def test_calls_beyond_the_connection_limit_fail_at_once() -> None:
     async def test() -> None:
         async with fleet(10, connections=5) as made:
             for peer in made.peers.values():
@@ -359,8 +360,8 @@
             made.add(CUSTOMERS[:100])
             await asyncio.sleep(0.05)
             assert sum(peer.connections for peer in made.peers.values()) == 4
-            refused = {counted.outcome for counted in made.told}
-            assert refused == {Outcome.NO_CONNECTION}
+            outcomes_at_once = {result.outcome for result in made.results}
+            assert outcomes_at_once == {Outcome.NO_CONNECTION}
             reached = sum(len(peer.calls) for peer in made.peers.values())
             for peer in made.peers.values():
                 peer.free.set()
@@ -370,12 +371,12 @@
     run(test)
 
 
-def test_gateways_with_different_lists_differ_for_the_missing_members_customers_only() -> None:
+def test_gateways_with_different_lists_disagree_only_on_the_missing_members_customers() -> None:
     async def test() -> None:
         async with fleet(4) as made:
             other = made.make_router()
             other.update_members(listing_of(made, [name for name in made.peers if name != "aggregator-2"]))
-            other.discovery.feed.on_list = lambda told: None  # it hears nothing for a while
+            other.discovery.feed.on_list = lambda listing: None  # it receives no list for a while
             customers = CUSTOMERS[:300]
             for customer in customers:
                 made.router.add(f"{customer}.7", 1.0, 60.0)
@@ -386,8 +387,8 @@
                      if sum(any(called == name for called, _ in peer.calls)
                             for peer in made.peers.values()) > 1}
             assert split == missing
-            assert set(made.sums().values()) == {2}  # nothing lost, nothing twice, over all members
-            # with the same list again both go by one sum
+            assert set(made.sums().values()) == {2}  # over all members, nothing is lost or added twice
+            # with the same list again both choose the same members
             other.update_members(listing_of(made, list(made.peers)))
             assert all(made.router.member_of(c).name == other.member_of(c).name  # type: ignore[union-attr]
                        for c in customers)
@@ -401,11 +402,11 @@
     return read_listing({"generation": 1, "reset": True, "instances": entries})
 
 
-def test_statuses_but_serving_are_no_members() -> None:
+def test_only_serving_entries_are_members() -> None:
     async def test() -> None:
-        router = AggregatorRouter(lambda: 0.0, [NOWHERE], PATIENCE, 1.0, lambda counted: None, 64)
-        told = [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2", "DRAINING"), entry("c", "", "DELETED")]
-        made = read_listing({"generation": 1, "reset": True, "instances": told})
+        router = AggregatorRouter(lambda: 0.0, [UNUSED_ADDRESS], TIMEOUT, 1.0, lambda result: None, 64)
+        entries = [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2", "DRAINING"), entry("c", "", "DELETED")]
+        made = read_listing({"generation": 1, "reset": True, "instances": entries})
         assert [e.backend.status for e in made.entries] == [
             BackendStatus.SERVING, BackendStatus.DRAINING, BackendStatus.REMOVED]
         router.update_members(made)
@@ -415,7 +416,7 @@
     run(test)
 
 
-# the configuration, and a whole gateway
+# the configuration, and a complete gateway
 
 
 @pytest.mark.parametrize("wrong", [
@@ -423,21 +424,21 @@
     {"calls_per_second": True}, {"burst": 1}, {"burst": float("nan")}, {"burst": 1e9},
     {"directory": "nowhere"},
 ])
-def test_a_part_out_of_form_is_refused_in_one_line(wrong: Any) -> None:
-    told = configured(aggregation=wrong)
-    with pytest.raises(ValueError, match="^(aggregation|not an address)") as refused:
-        build_configuration(told, {})
-    assert "\n" not in str(refused.value)
+def test_malformed_aggregation_settings_are_rejected_in_one_line(wrong: Any) -> None:
+    configuration = configured(aggregation=wrong)
+    with pytest.raises(ValueError, match="^(aggregation|not an address)") as error:
+        build_configuration(configuration, {})
+    assert "\n" not in str(error.value)
 
 
-def test_a_directory_without_a_counter_is_refused() -> None:
+def test_a_directory_without_a_counter_is_rejected() -> None:
     env = roomy_settings()
     env["domain"]["counter"] = False
     with pytest.raises(ValueError, match="no counter"):
         build_configuration(configured(aggregation={"directory": f"{HOST}:4"}, settings=env), {})
 
 
-def test_a_part_in_form_is_taken_with_its_defaults() -> None:
+def test_aggregation_settings_have_defaults() -> None:
     assert read_aggregation(None) is None
     assert read_aggregation({}) == AggregationSettings("", 40.0, 80.0)
     assert read_aggregation({"burst": 20}) == AggregationSettings("", 40.0, 20)
@@ -452,12 +453,12 @@
 
 
 @pytest.mark.parametrize(("sockets", "aggregators"), [(1024, 64), (256, 32), (64, 8), (32, 4)])
-def test_descriptors_for_aggregators_are_taken_off_the_plan(sockets: int, aggregators: int) -> None:
+def test_descriptors_for_aggregators_are_taken_from_the_others(sockets: int, aggregators: int) -> None:
     async def test() -> None:
         planned = {}
         for part in (None, {"directory": f"{HOST}:4"}):
-            told = configured(aggregation=part, limits={"sockets": sockets, "memory_mb": 192})
-            program = Program(build_configuration(told, {}))
+            configuration = configured(aggregation=part, limits={"sockets": sockets, "memory_mb": 192})
+            program = Program(build_configuration(configuration, {}))
             planned[part is not None] = program.dialer.pool.max_connections + program.front.most
             if program.driver.counter is not None:
                 program.driver.counter.close()
@@ -470,7 +471,7 @@
     run(test)
 
 
-def test_sighup_brings_and_takes_the_part_while_the_gateway_serves(
+def test_sighup_turns_aggregation_on_and_off_in_a_running_gateway(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test(bed: Bed) -> None:
@@ -499,7 +500,8 @@
         reload({"directory": directory.address})
         router = driver.counter
         assert isinstance(plain, Counter) and isinstance(router, AggregatorRouter)
-        assert router.max_member_connections == 15  # no more than a part of the reserve is free in a gateway that runs
+        # in a running gateway only a part of the reserved descriptors is free
+        assert router.max_member_connections == 15
         async with asyncio.timeout(SOON):
             while not router.members:
                 await asyncio.sleep(0.002)
@@ -520,7 +522,7 @@
 
 
 class AggregatedBed(Bed):
-    """A gateway with three aggregators, from its start."""
+    """A gateway that starts with three aggregators."""
 
     def __init__(self) -> None:
         super().__init__(1)
@@ -537,7 +539,7 @@
         self.directory.entries = {
             f"a{n}": entry(f"a{n}", peer.address) for n, peer in enumerate(self.aggregators)}
         env = settings_text()
-        env["domain"]["max_units"] = 1000.0  # no slice holds such a request: all go by the counter's level
+        env["domain"]["max_units"] = 1000.0  # no slice covers such a request: all use the counter's level
         await self.start(env, 1024)
         router = self.program.driver.counter
         async with asyncio.timeout(SOON):
@@ -550,7 +552,7 @@
             await peer.stop()
 
 
-def test_a_gateway_tells_aggregators_all_that_its_customers_sent() -> None:
+def test_a_gateway_reports_the_units_of_all_customers_to_the_aggregators() -> None:
     async def test() -> None:
         bed = AggregatedBed()
         await bed.begin()
@@ -560,12 +562,12 @@
             status, _, _ = await client.ask(request(number + 1, customer=customer))
             served[customer] += status == 200
         await bed.end()
-        told: Tally[str] = Tally()
+        reported: Tally[str] = Tally()
         for aggregator in bed.aggregators:
             for name, units in aggregator.calls:
-                told[name.rpartition(".")[0]] += round(units)
-        asked = {customer for customer, many in served.items() if many}
-        assert len(asked) == 8 and asked <= set(told) and not bed.counter.calls
+                reported[name.rpartition(".")[0]] += round(units)
+        asked = {customer for customer, count in served.items() if count}
+        assert len(asked) == 8 and asked <= set(reported) and not bed.counter.calls
         owners: dict[str, set[int]] = {}
         for place, aggregator in enumerate(bed.aggregators):
             for name, _ in aggregator.calls:
@@ -575,7 +577,7 @@
     run(test)
 
 
-def test_without_the_part_its_modules_are_not_loaded() -> None:
+def test_without_aggregation_its_modules_are_not_imported() -> None:
     code = "import sys, embersill.__main__, embersill.adapter; " \
         "sys.exit(any(m in sys.modules for m in ('embersill.net.aggregation', 'embersill.call_budget')))"
     assert subprocess.run([sys.executable, "-c", code], check=False, timeout=60).returncode == 0
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -1,7 +1,7 @@
-"""Incident of 2026-12: sends to backends that drain, seen only with thousands of them in the list.
+"""Incident of 2026-12: sends to draining backends while a list of thousands of backends was arriving.
 
-Real processes over loopback. The list of 3,200 backends takes longer to arrive than a call that is silent
-may take, though bytes come all the time.
+Real processes over loopback. The list of 3,200 backends takes longer to arrive than the timeout of a silent
+call, although bytes arrive all the time: the client must not cancel such a call.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from tests.soak_bed import SoakBed, soak_bed
 
 BACKENDS = 3200
-SLACK = 0.1  # seconds that this process itself may be late
-PIECE, PAUSE = 4096, 0.005  # of a list of 560 KB: about 0.8 s in all, and never a pause to speak of
+SLACK = 0.1  # seconds by which this process may be late
+PIECE_BYTES, PIECE_INTERVAL = 4096, 0.005  # seconds between pieces: 560 KB take about 0.8 s
 
 
-async def ask_for(bed: SoakBed, seconds: float, name: str) -> None:
-    """Some requests at any time, so that a backend that is still drawn is seen to be."""
+async def send_requests(bed: SoakBed, seconds: float, name: str) -> None:
+    """Sends requests all the time, so that sends to a draining backend are seen."""
     end, number = time.monotonic() + seconds, 0
     asked = []
     while time.monotonic() < end:
@@ -33,27 +33,27 @@
     await asyncio.gather(*asked)
 
 
-def test_a_whole_list_that_takes_long_to_arrive_is_obeyed(tmp_path: pathlib.Path) -> None:
-    """After a break of the watch: what the agent has counts as told, so the list is read as it comes."""
+def test_a_slowly_arriving_full_list_is_applied_in_time(tmp_path: pathlib.Path) -> None:
+    """After a watch broke, the agent's changes count as received: the full list must be read in time."""
 
     async def test() -> None:
         async with soak_bed(tmp_path, BACKENDS) as bed:
-            await ask_for(bed, 0.5, "before")
+            await send_requests(bed, 0.5, "before")
             bed.agent.faults.whole_lists = True
-            bed.agent.faults.piece, bed.agent.faults.pause = PIECE, PAUSE
+            bed.agent.faults.piece, bed.agent.faults.pause = PIECE_BYTES, PIECE_INTERVAL
             draining = sorted({a.backend for r in bed.requests.values() for a in r.attempts})
             assert draining
             bed.agent.break_watches()
             bed.agent.hear([bed.entry(name, "DRAINING") for name in draining])
             told, before = time.monotonic(), bed.agent.written_at
-            asking = asyncio.create_task(ask_for(bed, 4.0, "after"))
-            async with asyncio.timeout(2.5):  # some 0.8 s, and more on a busy machine
+            sending = asyncio.create_task(send_requests(bed, 4.0, "after"))
+            async with asyncio.timeout(2.5):  # about 0.8 s, and more on a busy machine
                 while bed.agent.written_at == before:
                     await asyncio.sleep(0.01)
             written = bed.agent.written_at
-            assert written > told + 0.5  # it takes longer than a call that is silent may
-            await asking
-            # the agent had not written all of it before: the list's own time comes on top of the grace
+            assert written > told + 0.5  # it takes longer than the timeout of a silent call
+            await sending
+            # the agent had written all of it only then: the time for the list adds to the grace
             late = [at for name in draining for at in bed.sends_to(name, written + GRACE + SLACK)]
             assert not late, f"{len(late)} sends, the last {max(late):.2f} s after the end of the grace"
 
@@ -61,17 +61,17 @@
 
 
 @pytest.mark.parametrize("whole", [False, True])
-def test_a_connection_that_ends_between_two_calls_is_replaced_at_once(
+def test_a_connection_closed_between_two_calls_is_replaced_at_once(
     whole: bool, tmp_path: pathlib.Path
 ) -> None:
-    """Found by the soak, seed 3: a call on a connection that had ended got no answer, and waited for it."""
+    """A call on a connection that was already closed got no answer, and waited for its full time."""
 
     async def test() -> None:
         async with soak_bed(tmp_path, 300) as bed:
             bed.agent.faults.whole_lists = whole
             for turn in range(12):
                 bed.agent.hear([bed.entry(bed.names[turn], "DRAINING")])
-                await asyncio.sleep(0.01)  # it is told, and the next call is not made yet
+                await asyncio.sleep(0.01)  # the change is delivered, and the next call not made yet
                 bed.agent.break_watches()
                 bed.agent.hear([bed.entry(bed.names[100 + turn], "DRAINING")])
                 calls = bed.agent.calls
@@ -87,13 +87,13 @@
     ("piece", "every", "ends_within"),
     [
         (0, 0.0, 0.15),  # silent after its first byte
-        (1, 0.02, 0.45),  # drips for ever: too slow, though never silent
+        (1, 0.02, 0.45),  # too slow, though never silent
     ],
 )
-def test_an_answer_that_does_not_come_on_is_given_up(
+def test_an_answer_that_stalls_or_is_too_slow_times_out(
     piece: int, every: float, ends_within: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Against a list that takes long, an answer that stops or only drips must not be waited for."""
+    """Unlike a long list, an answer that stops or is too slow must not be waited for."""
     monkeypatch.setattr(discovery, "MAX_ANSWER_TIME", 0.3)
     monkeypatch.setattr(discovery, "MIN_LIST_RATE", 1000)
 
@@ -112,7 +112,7 @@
     run(test)
 
 
-def test_an_answer_that_comes_on_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_that_makes_progress_does_not_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "MAX_ANSWER_TIME", 0.3)
 
     async def test() -> None:
--- a/tests/test_incident_lost.py
+++ b/tests/test_incident_lost.py
@@ -1,7 +1,7 @@
-"""Incident of 2026-12: attempts that begin after their client has gone.
+"""Incident of 2026-12: attempts that started after their client had disconnected.
 
-Real processes over loopback. The gateway is held up for a moment, as by a long turn of its loop or by the
-scheduler; what it then reads first makes it send, and the client's end stands behind that.
+Real processes over loopback. The gateway is suspended for a moment, as by a long callback or by the
+scheduler; the event that it reads first causes an attempt, and the client's disconnection is read after it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from tests.peers import SOON
 from tests.soak_bed import SoakBed, soak_bed
 
-HELD_UP = 0.25  # seconds
+SUSPENDED = 0.25  # seconds
 
 
 async def until_attempted(bed: SoakBed, call_id: str, times: int = 1) -> None:
@@ -25,8 +25,8 @@
             await asyncio.sleep(0.002)
 
 
-def test_no_retry_begins_for_a_client_that_has_gone(tmp_path: pathlib.Path) -> None:
-    """A backend turns the attempt away, then the client closes, both while the gateway is held up."""
+def test_no_retry_starts_for_a_disconnected_client(tmp_path: pathlib.Path) -> None:
+    """A backend rejects the attempt, then the client closes, both while the gateway is suspended."""
 
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
@@ -42,7 +42,7 @@
                 while bed.requests["gone"].attempts[0].end is not AttemptEnd.REJECTED:
                     await asyncio.sleep(0.002)
             writer.transport.abort()
-            await asyncio.sleep(HELD_UP)
+            await asyncio.sleep(SUSPENDED)
             bed.gateway.signal(signal.SIGCONT)
             await asyncio.sleep(0.5)
             assert len(bed.requests["gone"].attempts) == 1
@@ -50,8 +50,8 @@
     run(test)
 
 
-def test_no_first_attempt_begins_for_a_client_that_has_gone(tmp_path: pathlib.Path) -> None:
-    """A request and its client's end come while the gateway is held up."""
+def test_no_first_attempt_starts_for_a_disconnected_client(tmp_path: pathlib.Path) -> None:
+    """A request arrives and its client disconnects while the gateway is suspended."""
 
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
@@ -62,7 +62,7 @@
             writer.write(bed.text("gone"))
             await asyncio.sleep(0.02)
             writer.close()
-            await asyncio.sleep(HELD_UP)
+            await asyncio.sleep(SUSPENDED)
             bed.gateway.signal(signal.SIGCONT)
             await asyncio.sleep(0.3)
             assert not bed.requests["gone"].attempts
--- a/tests/test_list_feed.py
+++ b/tests/test_list_feed.py
@@ -1,4 +1,4 @@
-"""Long lists: read and told in slices, what drains first, and of a whole one only what is new."""
+"""Long lists: parsed and delivered in slices, draining backends first, and only the changes of a full one."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 def text_of(
     entries: list[dict[str, Any]], generation: int = 7, whole: bool = True, indent: int | None = None
 ) -> bytes:
-    told = {"generation": generation, "reset": whole, "instances": entries}
-    return json.dumps(told, indent=indent).encode()
+    listing = {"generation": generation, "reset": whole, "instances": entries}
+    return json.dumps(listing, indent=indent).encode()
 
 
 def long_list() -> list[dict[str, Any]]:
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_long_list_is_read_as_a_short_one_is(whole: bool, indent: int | None) -> None:
+def test_a_long_list_is_parsed_like_a_short_one(whole: bool, indent: int | None) -> None:
     entries = long_list()
     entries[5] |= {"weight": None, "zone": None, "startedAtMs": 1_790_000_000_123.5, "more": {"a": [1]}}
     entries[6] |= {"lifecycle": "DELETED", "hostPort": None}
@@ -41,7 +41,7 @@
 
     async def test() -> None:
         reader = ListReader()
-        for _ in range(2):  # the second time its entries are known
+        for _ in range(2):  # the second time its entries are cached
             assert await reader.read(body) == parse_listing(body)
 
     run(test)
@@ -63,7 +63,7 @@
         lambda body: body.replace(b"instanceId", b"id", 1),
     ],
 )
-def test_a_long_list_that_is_wrong_is_refused_whole(wrong: Any) -> None:
+def test_a_malformed_long_list_is_rejected_completely(wrong: Any) -> None:
     body = wrong(text_of(long_list()))
 
     async def test() -> None:
@@ -73,7 +73,7 @@
     run(test)
 
 
-def test_the_loop_runs_on_while_a_long_list_is_read_and_told() -> None:
+def test_the_event_loop_runs_while_a_long_list_is_parsed_and_delivered() -> None:
     async def test() -> None:
         turns, at_slices = 0, []
 
@@ -97,22 +97,22 @@
     run(test)
 
 
-def test_of_a_whole_list_what_is_new_is_told_and_what_drains_first() -> None:
-    told: list[Listing] = []
+def test_of_a_full_list_only_changes_are_delivered_and_draining_backends_first() -> None:
+    delivered: list[Listing] = []
 
     async def test() -> None:
-        feed, entries = ListFeed(told.append), long_list()
+        feed, entries = ListFeed(delivered.append), long_list()
         await feed.deliver(parse_listing(text_of(entries, 1)))
-        told.clear()
+        delivered.clear()
         entries[0] |= {"startedAtMs": 5.0}
         entries[-1] |= {"lifecycle": "DRAINING"}
         del entries[10]
-        entries.append(entries[20] | {"lifecycle": "DRAINING"})  # named twice: the last counts
+        entries.append(entries[20] | {"lifecycle": "DRAINING"})  # a second entry, which counts
         await feed.deliver(parse_listing(text_of(entries, 2)))
 
     run(test)
-    assert [(part.kind, part.generation) for part in told] == [(ListKind.CHANGES, 2)]
-    states = [(e.backend.address, e.backend.status) for e in told[0].entries]
+    assert [(part.kind, part.generation) for part in delivered] == [(ListKind.CHANGES, 2)]
+    states = [(e.backend.address, e.backend.status) for e in delivered[0].entries]
     assert states[-1] == ("backend-0", BackendStatus.SERVING)
     assert sorted(states[:-1], key=str) == [
         ("backend-10", BackendStatus.REMOVED),
@@ -121,36 +121,34 @@
     ]
 
 
-def test_short_lists_are_told_as_they_come() -> None:
-    told: list[Listing] = []
+def test_short_lists_are_delivered_unchanged() -> None:
+    delivered: list[Listing] = []
 
     async def test() -> None:
         listing = parse_listing(text_of(long_list()[:SLICE_ENTRIES]))
-        await ListFeed(told.append).deliver(listing)
-        assert told == [listing]
+        await ListFeed(delivered.append).deliver(listing)
+        assert delivered == [listing]
 
     run(test)
 
 
-def test_a_list_that_is_not_taken_in_does_not_end_the_following() -> None:
-    """Its failure is logged, and the whole list is asked for and told as one."""
-
+def test_after_a_failed_delivery_the_full_list_is_requested_and_delivered() -> None:
     async def test() -> None:
-        peer, told, wrong = DiscoveryPeer(), list[Listing](), [True]
+        peer, delivered, failures = DiscoveryPeer(), list[Listing](), [True]
         peer.entries = {e["instanceId"]: e for e in long_list()}
         await peer.start()
         host, _, port = peer.address.rpartition(":")
 
-        def tell(listing: Listing) -> None:
-            if wrong.pop() if wrong else False:
-                raise KeyError("a fault in taking it in")
-            told.append(listing)
+        def apply_list(listing: Listing) -> None:
+            if failures.pop() if failures else False:
+                raise KeyError("a fault while applying it")
+            delivered.append(listing)
 
-        following = asyncio.create_task(Discovery([(host, int(port))], 1.0, tell, grace=1.0).run())
+        following = asyncio.create_task(Discovery([(host, int(port))], 1.0, apply_list, grace=1.0).run())
         async with asyncio.timeout(SOON):
-            while not told:
+            while not delivered:
                 await asyncio.sleep(0.005)
-        assert told[0].is_full and len(told[0].entries) == MANY
+        assert delivered[0].is_full and len(delivered[0].entries) == MANY
         following.cancel()
         await peer.stop()
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats keep to their class and window at the sockets too: what waits past the window is never written."""
+"""Retries obey their class and window at the sockets: after the window nothing is written."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def keyed_settings(window: float = WINDOW, semantics: str = "by_key") -> dict[str, Any]:
-    """The keyed class with a short window; its time is long, so that only the window binds."""
+    """The keyed class with a short window and a long deadline, so that only the window limits retries."""
     env = roomy_settings()
     service = next(s for s in env["services"] if s["name"] == "report")
     service.update(memory_span=1000.0 * window, aim=30_000.0, deadline=60_000.0, semantics=semantics)
@@ -32,42 +32,42 @@
 
 
 async def fail(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    """Wherever the repeat goes, it needs a connection of its own."""
+    """Fails and closes the connection, so that a retry needs a new one at any backend."""
     writer.write(message(500, b"", "Connection: close"))
 
 
-def out_at(bed: Bed) -> int:
+def attempts_received(bed: Bed) -> int:
     return len(bed.seen())
 
 
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(
+def test_a_retry_that_connects_after_the_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         async with running(2, env=keyed_settings()) as bed:
             for backend in bed.backends:
                 backend.script = [fail]
-            connect, dialled = Dialer.connect, 0
+            connect, connects = Dialer.connect, 0
 
-            async def late(self: Dialer, made: BackendConnection, address: Address) -> None:
-                nonlocal dialled
-                dialled += 1
-                if dialled > 1:
+            async def delayed(self: Dialer, connection: BackendConnection, address: Address) -> None:
+                nonlocal connects
+                connects += 1
+                if connects > 1:
                     await asyncio.sleep(2 * WINDOW)
-                await connect(self, made, address)
+                await connect(self, connection, address)
 
-            monkeypatch.setattr(Dialer, "connect", late)
+            monkeypatch.setattr(Dialer, "connect", delayed)
             client = await bed.client()
             status, _, _ = await client.ask(keyed(1))
-            # a timer that is early by a millisecond leaves time for a third, which ends with the window
-            assert status in (429, 502) and dialled >= 2
-            await asyncio.sleep(2 * WINDOW)  # the connection is up
-            assert out_at(bed) == 1
+            # if a timer is a millisecond early, there is time for a third attempt, which ends with the window
+            assert status in (429, 502) and connects >= 2
+            await asyncio.sleep(2 * WINDOW)  # the connection is open by now
+            assert attempts_received(bed) == 1
 
     run(test)
 
 
-def test_a_repeat_in_line_behind_another_is_given_up_at_the_windows_end() -> None:
+def test_a_retry_queued_for_a_connection_ends_with_the_window() -> None:
     async def test() -> None:
         async with running(1, env=keyed_settings()) as bed:
             free = asyncio.Event()
@@ -86,35 +86,36 @@
             client, other = await bed.client(), await bed.client()
             bed.backends[0].script = [fail_when_others_wait, hold]
             status, _, _ = await client.ask(keyed(1))
-            assert status in (429, 502) and out_at(bed) == 2
+            assert status in (429, 502) and attempts_received(bed) == 2
             free.set()
             assert (await other.answer())[0] == 200
-            assert out_at(bed) == 2
+            assert attempts_received(bed) == 2
 
     run(test)
 
 
-def test_a_connection_that_comes_up_between_the_windows_end_and_its_timer_writes_nothing(
+def test_a_connection_that_opens_between_the_windows_end_and_its_timer_writes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         async with running(1, env=keyed_settings(window=5.0)) as bed:
             bed.backends[0].script = [fail]
-            carry, clock = BackendConnection.send, bed.program.dialer.pool.clock
+            send, clock = BackendConnection.send, bed.program.dialer.pool.clock
 
-            def late(self: BackendConnection, attempt: Any, wait: float) -> None:
-                if out_at(bed):
-                    self.pool.clock = lambda: clock() + 5.0  # the loop was busy: the timer has not run yet
-                carry(self, attempt, wait)
+            def delayed(self: BackendConnection, attempt: Any, wait: float) -> None:
+                if attempts_received(bed):
+                    # as if the event loop was blocked: the timer has not run yet
+                    self.pool.clock = lambda: clock() + 5.0
+                send(self, attempt, wait)
 
-            monkeypatch.setattr(BackendConnection, "send", late)
+            monkeypatch.setattr(BackendConnection, "send", delayed)
             status, _, _ = await (await bed.client()).ask(keyed(1))
-            assert status in (429, 502) and out_at(bed) == 1
+            assert status in (429, 502) and attempts_received(bed) == 1
 
     run(test)
 
 
-def test_a_request_that_is_not_written_whole_when_the_window_ends_never_ran() -> None:
+def test_a_retry_that_is_partly_written_at_the_windows_end_never_ran() -> None:
     async def test() -> None:
         async with running(1, env=keyed_settings()) as bed:
             peer, ends = bed.backends[0], list[AttemptResult]()
@@ -122,9 +123,9 @@
             peer.script = [lambda writer, asked: writer.write(message(200, b""))]
             assert (await client.ask(request(1)))[0] == 200
             pool: Pool = bed.program.dialer.pool
-            link = next(link for link in pool.connections if isinstance(link, BackendConnection))
-            link.write_pending = True  # the kernel has not taken what was written before
-            link.transport.pause_reading()  # type: ignore[union-attr]
+            connection = next(c for c in pool.connections if isinstance(c, BackendConnection))
+            connection.write_pending = True  # the kernel has not accepted earlier writes
+            connection.transport.pause_reading()  # type: ignore[union-attr]
             now = pool.clock()
             attempt = Attempt("b0", b"GET / HTTP/1.1\r\n", b"", now, now + SOON, lambda _, a: ends.append(a),
                               lambda *_: None, None, now + 0.05)
@@ -137,7 +138,7 @@
 
 
 @pytest.mark.parametrize("end", ["error", "reset", "no answer"])
-def test_an_unsafe_request_that_may_have_run_is_not_repeated(end: str) -> None:
+def test_an_unsafe_request_that_may_have_run_is_not_retried(end: str) -> None:
     async def test() -> None:
         async with running(2, env=roomy_settings()) as bed:
             async def ends(writer: asyncio.StreamWriter, asked: Asked) -> None:
@@ -150,20 +151,20 @@
                 backend.script = [ends]
             client = await bed.client()
             status, headers, _ = await client.ask(request(1, "extract", budget=1.0))
-            assert status in (502, 504) and "retry-after" not in headers and out_at(bed) == 1
+            assert status in (502, 504) and "retry-after" not in headers and attempts_received(bed) == 1
 
     run(test)
 
 
 @pytest.mark.parametrize("text", [b"rubbish\r\n\r\n", b"HTTP/1.1 200 X\r\nContent-Length: x\r\n\r\n"])
-def test_the_attempt_before_has_ended_when_the_next_is_written(text: bytes) -> None:
-    """Two attempts are never out at once, also not for as long as a close takes."""
+def test_an_attempts_connection_is_closed_before_the_next_attempt_is_written(text: bytes) -> None:
+    """Two attempts are never in flight together, not even for the time that a close takes."""
     async def test() -> None:
         async with running(2) as bed:
             first: list[asyncio.StreamWriter] = []
             ended: list[bool] = []
 
-            async def garbled(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def malformed(writer: asyncio.StreamWriter, asked: Asked) -> None:
                 if not first:
                     first.append(writer)
                     writer.write(text)
@@ -173,7 +174,7 @@
                     writer.write(message(200, b"served"))
 
             for backend in bed.backends:
-                backend.script = [garbled, garbled]
+                backend.script = [malformed, malformed]
             assert (await (await bed.client()).ask(request(1)))[0] == 200
             assert ended == [True]
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,7 +1,7 @@
-"""No list is known later than the pages allow: watches that fall silent, discovery down, resets, SIGHUP.
+"""Changes arrive within the limits on staleness: silent watches, outages of discovery, resets, SIGHUP.
 
-On a day of the bench 4,077 requests went to backends whose drain counted as told: a silent watch was given up
-5 s past its wait, and each of 186 gateways then waited for 9 to 28 s more.
+Guards against sends to backends whose drain already counts as received: they happened when a silent watch was
+cancelled 5 s after its wait, and the gateways of a large fleet then paused for 9 to 28 s more.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
     FLEET_CALL_RATE, JITTER, MAX_CALL_INTERVAL, MAX_UNSPREAD_GATEWAYS, MAX_WATCH_MS, MIN_WATCH_SHARE,
     OVERLOAD_BACKOFF, Discovery, Overloaded,
 )
-from tests.virtual import AGENT, WIRE, Agent, Follower, Link, VirtualLoop, entry, play
+from tests.virtual import AGENT_ADDRESS, DELAY, Agent, Follower, VirtualConnection, VirtualLoop, entry, play
 
-SILENCE = 6.0  # seconds after which a change that discovery had, and could be reached with, counts as told
-GRACE = 1.0  # seconds for sends to a backend after it was told to drain
-OLD = ("old", 1)
+SILENCE = 6.0  # seconds after which a change counts as received if discovery had it and was reachable
+GRACE = 1.0  # seconds in which sends to a draining backend must stop
+OLD_ADDRESS = ("old", 1)
 
 
-def waits(agent: Agent) -> list[tuple[float, float]]:
-    """When each call was asked, and its wait."""
+def calls_with_waits(agent: Agent) -> list[tuple[float, float]]:
+    """The time of each call and its wait in seconds."""
     found = [(at, re.search(r"timeout_ms=(\d+)", target)) for at, target in agent.asked]
     return [(at, int(wait[1]) / 1000.0 if wait else 0.0) for at, wait in found]
 
@@ -34,19 +34,19 @@
 @pytest.mark.parametrize("gateways", [1, 40, 200, 1024])
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("after", [0.0, 0.5, 0.999])
-def test_what_a_silent_watch_missed_is_heard_before_it_counts_as_told(
+def test_a_change_that_a_silent_watch_missed_arrives_in_time(
     after: float, pushed: bool, gateways: int
 ) -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         gateway = Follower(loop, gateways, gateways, GRACE if pushed else None)
         await asyncio.sleep(1.0)
-        asked, wait = waits(agent)[-1]
+        asked, wait = calls_with_waits(agent)[-1]
         await asyncio.sleep(asked + after * wait - loop.time() if after else 0.0)
-        agent.fall_silent()
-        told = loop.time() + SILENCE
+        agent.silence_connections()
+        due_at = loop.time() + SILENCE
         agent.change(entry("a", "DRAINING"))
-        await asyncio.sleep(told - loop.time())
+        await asyncio.sleep(due_at - loop.time())
         assert gateway.states == {"a": "draining"}
 
     play(test)
@@ -54,112 +54,112 @@
 
 @pytest.mark.parametrize("calls", [1, 2])
 @pytest.mark.parametrize("gateways", [1, 200])
-def test_calls_that_are_silent_after_a_silent_watch_cost_no_more_than_the_grace(
+def test_silent_calls_after_a_silent_watch_delay_a_change_by_at_most_the_grace(
     gateways: int, calls: int
 ) -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         gateway = Follower(loop, 2, gateways, GRACE)
         await asyncio.sleep(1.0)
-        agent.fall_silent()
-        told = loop.time() + SILENCE
+        agent.silence_connections()
+        due_at = loop.time() + SILENCE
         agent.silent_calls = calls
         agent.change(entry("a", "DRAINING"))
-        await asyncio.sleep(told + GRACE - loop.time())
+        await asyncio.sleep(due_at + GRACE - loop.time())
         assert gateway.states == {"a": "draining"}
 
     play(test)
 
 
-def test_the_watch_after_a_silent_one_may_be_silent_too() -> None:
+def test_changes_arrive_in_time_after_two_silent_watches() -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a"), "b": entry("b")})
         gateway = Follower(loop, 3, 200, GRACE)
         for name in ("a", "b"):
             await asyncio.sleep(1.0)
-            agent.fall_silent()
-            told = loop.time() + SILENCE
+            agent.silence_connections()
+            due_at = loop.time() + SILENCE
             agent.change(entry(name, "DRAINING"))
-            await asyncio.sleep(told - loop.time())
+            await asyncio.sleep(due_at - loop.time())
             assert gateway.states[name] == "draining"
 
     play(test)
 
 
-def busiest(times: list[float]) -> int:
+def max_in_one_second(times: list[float]) -> int:
     return max(sum(t <= other < t + 1.0 for other in times) for t in times)
 
 
-def test_a_fleet_whose_watches_fall_silent_together_does_not_come_again_in_step() -> None:
+def test_a_fleet_whose_watches_are_silent_together_does_not_retry_together() -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         fleet = [Follower(loop, seed, 200, GRACE) for seed in range(200)]
         await asyncio.sleep(1.0)
-        agent.change()  # all watches end, and begin anew, in one moment
+        agent.change()  # all watches end and are repeated at one moment
         await asyncio.sleep(0.1)
         before, silent = len(agent.asked), loop.time()
-        agent.fall_silent()
+        agent.silence_connections()
         agent.change(entry("a", "DRAINING"))
         await asyncio.sleep(SILENCE)
-        first = sorted(gateway.heard_at(agent.generation) for gateway in fleet)
+        first = sorted(gateway.received_at(agent.generation) for gateway in fleet)
         assert first[-1] <= silent + SILENCE
         spread = MAX_WATCH_MS / 1000.0 * (1.0 - MIN_WATCH_SHARE)
-        assert busiest(first) <= 1.5 * 200 / spread  # one and a half times the average
+        assert max_in_one_second(first) <= 1.5 * 200 / spread  # one and a half times the average
         again = [target for _, target in agent.asked[before:] if "timeout_ms=1" in target.split("&")]
         assert len(again) == 200  # one call each, and then the next watch
 
     play(test)
 
 
-def test_a_fleet_that_finds_no_room_after_a_silence_takes_turns() -> None:
-    """Ten calls a second don't do for 200 gateways in 7 s; but their calls must not keep it full."""
+def test_gateways_of_a_fleet_take_turns_when_discovery_is_overloaded_after_a_silence() -> None:
+    """Ten calls per second are too few for 200 gateways in 7 s: they must not add to the overload."""
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         fleet = [Follower(loop, seed, 200, None) for seed in range(200)]
         await asyncio.sleep(1.0)
-        agent.fall_silent()
-        agent.room = 10
+        agent.silence_connections()
+        agent.calls_per_second = 10
         agent.change(entry("a", "DRAINING"))
         before = len(agent.asked)
         await asyncio.sleep(12.0)
         assert len(agent.asked) - before <= 4 * 200  # a call after the silence, a watch, turns for some
-        heard = sum(gateway.states == {"a": "draining"} for gateway in fleet)
-        assert heard >= 10 * (12.0 - MAX_CALL_INTERVAL) / 2  # half of what there is room for are watches
-        agent.room = 0
+        informed = sum(gateway.states == {"a": "draining"} for gateway in fleet)
+        assert informed >= 10 * (12.0 - MAX_CALL_INTERVAL) / 2  # half of the accepted calls are watches
+        agent.calls_per_second = 0
         await asyncio.sleep(SILENCE)
         assert all(gateway.states == {"a": "draining"} for gateway in fleet)
 
     play(test)
 
 
-@pytest.mark.parametrize("forgets", [True, False])
+@pytest.mark.parametrize("loses_pending", [True, False])
 @pytest.mark.parametrize("gateways", [1, 200])
 @pytest.mark.parametrize("began", [0.5, 4.0, 8.0])
 @pytest.mark.parametrize("lasts", [0.5, 3.0, 8.0, 25.0])
-def test_news_at_discoverys_return_are_heard_within_the_grace(
-    lasts: float, began: float, gateways: int, forgets: bool
+def test_changes_after_an_outage_of_discovery_arrive_within_the_grace(
+    lasts: float, began: float, gateways: int, loses_pending: bool
 ) -> None:
-    """Where lists are pushed, what the agent gets at its return counts at once."""
+    """Where lists are pushed, a change counts as received as soon as the agent has it."""
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         gateway = Follower(loop, 5, gateways, GRACE)
         await asyncio.sleep(began)
-        agent.stop(forgets)
+        agent.stop(loses_pending)
         stopped = loop.time()
         await asyncio.sleep(lasts)
-        agent.go_on()
+        agent.resume()
         agent.change(entry("a", "DRAINING"))
-        told = loop.time()
-        if forgets:  # the watch that was open is broken, and what it misses has a clock of its own
-            told = max(told, stopped + SILENCE)
-        await asyncio.sleep(told + GRACE - loop.time())
+        due_at = loop.time()
+        if loses_pending:  # for the watch that was pending, the limit counts from the outage
+            due_at = max(due_at, stopped + SILENCE)
+        await asyncio.sleep(due_at + GRACE - loop.time())
         assert gateway.states == {"a": "draining"}
 
     play(test)
 
 
 @pytest.mark.parametrize(("pushed", "within"), [(True, GRACE), (False, SILENCE + GRACE)])
-def test_where_connections_are_refused_for_long_the_return_is_noticed_in_time(
+def test_the_end_of_a_long_outage_with_refused_connections_is_noticed_in_time(
     pushed: bool, within: float
 ) -> None:
     async def test(loop: VirtualLoop) -> None:
@@ -179,20 +179,20 @@
 
 @pytest.mark.parametrize("cut", [0, 40, 150])
 @pytest.mark.parametrize("gateways", [1, 200])
-def test_a_watch_that_is_reset_or_cut_in_the_middle_of_a_list_is_opened_anew(
+def test_a_watch_that_breaks_before_or_in_a_list_is_repeated(
     gateways: int, cut: int
 ) -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         gateway = Follower(loop, 4, gateways, GRACE)
         await asyncio.sleep(2.0)
-        link, = agent.links
+        connection, = agent.connections
         agent.watches.clear()
         agent.change(entry("a", "DRAINING"))
-        whole = b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n" + agent.listing(1)
+        answer = b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n" + agent.listing(1)
         if cut:
-            link.deliver(whole[:cut])
-        link.abort()
+            connection.deliver(answer[:cut])
+        connection.abort()
         await asyncio.sleep(GRACE / 2)
         assert gateway.states == {"a": "draining"}
 
@@ -200,24 +200,24 @@
 
 
 @pytest.mark.parametrize("way", ["silent", "down", "no room", "unreachable", "refused"])
-def test_after_sighup_the_list_at_the_new_address_is_asked_for_whatever_was_under_way(way: str) -> None:
+def test_after_sighup_the_list_at_the_new_address_is_requested_in_any_state(way: str) -> None:
     async def test(loop: VirtualLoop) -> None:
-        old = Agent(loop, OLD, entries={"a": entry("a")})
-        new = Agent(loop, AGENT, generation=7, entries={"a": entry("a", "DRAINING")})
-        gateway = Follower(loop, 6, 200, GRACE, addresses=(OLD,))
+        old = Agent(loop, OLD_ADDRESS, entries={"a": entry("a")})
+        new = Agent(loop, AGENT_ADDRESS, generation=7, entries={"a": entry("a", "DRAINING")})
+        gateway = Follower(loop, 6, 200, GRACE, addresses=(OLD_ADDRESS,))
         await asyncio.sleep(1.0)
         assert gateway.states == {} and not new.asked
         if way in ("silent", "down"):
-            old.fall_silent()
+            old.silence_connections()
             old.down = way == "down"
             await asyncio.sleep(12.0 if way == "down" else 1.0)
         else:
-            old.room = 1 if way == "no room" else 0
+            old.calls_per_second = 1 if way == "no room" else 0
             old.unreachable, old.refuses = way == "unreachable", way == "refused"
-            old.took += [loop.time() + t / 10 for t in range(30)]  # others take what room there is
+            old.accepted_at += [loop.time() + t / 10 for t in range(30)]  # others use its capacity
             old.reset()
             await asyncio.sleep(3.0)
-        gateway.discovery.set_addresses([AGENT])
+        gateway.discovery.set_addresses([AGENT_ADDRESS])
         await asyncio.sleep(0.2)
         assert gateway.states == {"a": "draining"} and gateway.discovery.generation == 7
         await asyncio.sleep(20.0)
@@ -226,85 +226,89 @@
     play(test)
 
 
-def test_a_list_that_came_from_where_discovery_was_is_not_taken() -> None:
+def test_a_list_from_a_previous_address_is_not_accepted() -> None:
     async def test(loop: VirtualLoop) -> None:
-        old = Agent(loop, OLD, generation=1, entries={"a": entry("a")})
-        new = Agent(loop, AGENT, generation=1, entries={"a": entry("a", "DRAINING")})
-        gateway = Follower(loop, addresses=(OLD,))
+        old = Agent(loop, OLD_ADDRESS, generation=1, entries={"a": entry("a")})
+        new = Agent(loop, AGENT_ADDRESS, generation=1, entries={"a": entry("a", "DRAINING")})
+        gateway = Follower(loop, addresses=(OLD_ADDRESS,))
         await asyncio.sleep(1.0)
-        link, = old.links
+        connection, = old.connections
         old.change(entry("a"))
-        await asyncio.sleep(WIRE / 2)
+        await asyncio.sleep(DELAY / 2)
         body = b'{"generation":9,"reset":true,"instances":[]}'
-        link.deliver(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-        gateway.discovery.set_addresses([AGENT])  # before the task that waits for the answer goes on
+        connection.deliver(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+        # before the task that waits for the answer runs
+        gateway.discovery.set_addresses([AGENT_ADDRESS])
         await asyncio.sleep(0.2)
         assert gateway.states == {"a": "draining"} and gateway.discovery.generation == new.generation
-        assert all(listing.generation != 9 for _, listing in gateway.told)
+        assert all(listing.generation != 9 for _, listing in gateway.lists)
 
     play(test)
 
 
 @pytest.mark.parametrize("how", ["change", "whole", "absent"])
-def test_a_restart_from_a_remembered_list_hears_of_a_drain_at_once(how: str) -> None:
+def test_after_a_start_with_a_cached_list_a_drain_arrives_at_once(how: str) -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a"), "b": entry("b")})
         agent.change(entry("a", "DELETED" if how == "absent" else "DRAINING"))
         gateway = Follower(loop, gateways=200, known=1 if how == "change" else None)
-        await asyncio.sleep(10 * WIRE)
-        assert gateway.told[0][1].is_full is (how != "change")
-        statuses = {e.backend.address: e.backend.status for e in gateway.told[0][1].entries}
+        await asyncio.sleep(10 * DELAY)
+        assert gateway.lists[0][1].is_full is (how != "change")
+        statuses = {e.backend.address: e.backend.status for e in gateway.lists[0][1].entries}
         assert statuses.get("a") is {"absent": None}.get(how, BackendStatus.DRAINING)
 
     play(test)
 
 
 @pytest.mark.parametrize("gateways", [1, 9, 40, 200, 1024])
-def test_turns_are_over_before_news_count_as_told(gateways: int) -> None:
-    """200 gateways waited for up to 30 s, and 1,024 for 36 s, with a list that counted as told after 6."""
+def test_pauses_after_an_overload_are_spread_and_stay_below_the_call_interval(gateways: int) -> None:
+    """Longer pauses (30 s with 200 gateways, 36 s with 1,024) would keep lists for longer than 6 s."""
     async def test(loop: VirtualLoop) -> None:
         Agent(loop)
         pauses = []
         for seed in range(gateways):
-            discovery = Discovery([AGENT], 0.25, lambda told: None, 1, seed, gateways, None)
+            discovery = Discovery([AGENT_ADDRESS], 0.25, lambda listing: None, 1, seed, gateways, None)
             pauses.append([discovery.handle_failure(Overloaded("status 503")) for _ in range(8)])
-        assert max(map(max, pauses)) <= MAX_CALL_INTERVAL and min(map(min, pauses)) >= OVERLOAD_BACKOFF * (1 - JITTER)
-        if gateways > MAX_UNSPREAD_GATEWAYS:  # spread over the time that the bound leaves, or that all need
+        assert (
+            max(map(max, pauses)) <= MAX_CALL_INTERVAL
+            and min(map(min, pauses)) >= OVERLOAD_BACKOFF * (1 - JITTER))
+        if gateways > MAX_UNSPREAD_GATEWAYS:  # spread over the remaining time, or over that which all need
             over = min(gateways / FLEET_CALL_RATE, MAX_CALL_INTERVAL - OVERLOAD_BACKOFF)
-            assert all(busiest([p[n] for p in pauses]) <= 1.3 * gateways / over + 5 for n in range(8))
+            assert all(
+                max_in_one_second([p[n] for p in pauses]) <= 1.3 * gateways / over + 5 for n in range(8))
 
     play(test)
 
 
-KINDS = ("silent", "refused", "reset", "no room", "bad", "whole")
+FAULTS = ("silent", "refused", "reset", "no room", "bad", "whole")
 
 
-class Troubled(Agent):
-    """An agent that meets each call with the next of its troubles, and answers once there are none left."""
+class FaultyAgent(Agent):
+    """An agent that answers each call with the next of its faults, and correctly once none is left."""
 
-    def __init__(self, loop: VirtualLoop, troubles: tuple[str, ...], **more: Any) -> None:
+    def __init__(self, loop: VirtualLoop, faults: tuple[str, ...], **more: Any) -> None:
         super().__init__(loop, **more)
-        self.troubles = list(troubles)
+        self.faults = list(faults)
 
-    def asked_on(self, link: Link, text: str) -> None:
-        if not self.troubles or link.closed or "timeout_ms" in text and "timeout_ms=1 " not in text:
-            return super().asked_on(link, text)  # a watch
+    def request_received(self, connection: VirtualConnection, text: str) -> None:
+        if not self.faults or connection.closed or "timeout_ms" in text and "timeout_ms=1 " not in text:
+            return super().request_received(connection, text)  # a watch
         self.asked.append((self.loop.time(), text.split()[1]))
-        match self.troubles.pop(0):
+        match self.faults.pop(0):
             case "silent":
-                link.silent = True
+                connection.silent = True
             case "refused":
-                link.abort()
+                connection.abort()
                 self.refuses = True
                 self.loop.call_later(0.3, self.accept_again)
             case "reset":
-                link.abort()
+                connection.abort()
             case "no room":
-                link.answer(message(503))
+                connection.answer(message(503))
             case "bad":
-                link.answer(message(200, b"[]"))
-            case "whole":  # of a version before the change: what a copy that lags would say
-                link.answer(message(200, b'{"generation":0,"reset":true,"instances":[]}'))
+                connection.answer(message(200, b"[]"))
+            case "whole":  # of a generation before the change, as from a lagging replica
+                connection.answer(message(200, b'{"generation":0,"reset":true,"instances":[]}'))
 
     def accept_again(self) -> None:
         self.refuses = False
@@ -312,22 +316,22 @@
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("gateways", [1, 8])
-@pytest.mark.parametrize("second", KINDS)
-@pytest.mark.parametrize("first", KINDS)
-def test_a_change_is_heard_in_time_in_every_order_of_two_failures_after_a_silent_watch(
+@pytest.mark.parametrize("second", FAULTS)
+@pytest.mark.parametrize("first", FAULTS)
+def test_a_change_arrives_in_time_after_a_silent_watch_and_any_two_failures(
     first: str, second: str, gateways: int, pushed: bool
 ) -> None:
-    """Sends to a draining backend break the rule a grace after the change counted as told."""
+    """Sends to a draining backend must stop one grace after the change counts as received."""
     for seed in range(10):
         async def test(loop: VirtualLoop, seed: int = seed) -> None:
-            agent = Troubled(loop, (), entries={"a": entry("a")})
+            agent = FaultyAgent(loop, (), entries={"a": entry("a")})
             gateway = Follower(loop, seed, gateways, GRACE if pushed else None)
             await asyncio.sleep(20.0)
-            agent.troubles = [first, second]
-            agent.fall_silent()
+            agent.faults = [first, second]
+            agent.silence_connections()
             agent.change(entry("a", "DRAINING"))
             await asyncio.sleep(SILENCE + GRACE)
-            assert gateway.states == {"a": "draining"} and not agent.troubles
+            assert gateway.states == {"a": "draining"} and not agent.faults
 
         play(test)
 
@@ -335,16 +339,16 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("way", ["silent", "refused", "reset", "no room", "bad"])
 @pytest.mark.parametrize("lasts", [1.0, 7.0, 40.0])
-def test_however_calls_end_the_next_begins_in_time(lasts: float, way: str, pushed: bool) -> None:
-    """What discovery has when it can be reached again is heard within 6 s, also by each of 200 gateways."""
+def test_a_change_arrives_in_time_after_repeated_failures(lasts: float, way: str, pushed: bool) -> None:
+    """A change that discovery has after an outage arrives within 6 s, at each of many gateways."""
     async def test(loop: VirtualLoop) -> None:
-        agent = Troubled(loop, (), entries={"a": entry("a")})
+        agent = FaultyAgent(loop, (), entries={"a": entry("a")})
         fleet = [Follower(loop, seed, 200, GRACE if pushed else None) for seed in range(50)]
         await asyncio.sleep(5.0)
-        agent.troubles = [way] * 1_000_000
-        agent.fall_silent()
+        agent.faults = [way] * 1_000_000
+        agent.silence_connections()
         await asyncio.sleep(lasts)
-        agent.troubles, agent.refuses = [], False
+        agent.faults, agent.refuses = [], False
         agent.change(entry("a", "DRAINING"))
         await asyncio.sleep(SILENCE)
         assert all(gateway.states == {"a": "draining"} for gateway in fleet)
@@ -354,15 +358,16 @@
 
 @pytest.mark.parametrize("first", ["silent", "refused", "reset", "no room", "bad"])
 @pytest.mark.parametrize("pushed", [True, False])
-def test_after_sighup_one_failed_call_leaves_time_for_the_next(pushed: bool, first: str) -> None:
-    """What discovery has at the new address counts as told 4 s after the signal."""
+def test_after_sighup_and_one_failed_call_the_list_arrives_in_time(pushed: bool, first: str) -> None:
+    """The list at the new address counts as received 4 s after the signal."""
     async def test(loop: VirtualLoop) -> None:
-        Agent(loop, OLD, entries={"a": entry("a")})
-        fleet = [Follower(loop, seed, 8, GRACE if pushed else None, addresses=(OLD,)) for seed in range(10)]
+        Agent(loop, OLD_ADDRESS, entries={"a": entry("a")})
+        fleet = [
+            Follower(loop, seed, 8, GRACE if pushed else None, addresses=(OLD_ADDRESS,)) for seed in range(10)]
         await asyncio.sleep(3.0)
-        Troubled(loop, (first,) * len(fleet), generation=7, entries={"a": entry("a", "DRAINING")})
+        FaultyAgent(loop, (first,) * len(fleet), generation=7, entries={"a": entry("a", "DRAINING")})
         for gateway in fleet:
-            gateway.discovery.set_addresses([AGENT])
+            gateway.discovery.set_addresses([AGENT_ADDRESS])
         await asyncio.sleep(4.0)
         assert all(gateway.states == {"a": "draining"} for gateway in fleet)
 
@@ -370,8 +375,8 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_what_the_bound_costs_a_quiet_fleet_in_calls(pushed: bool) -> None:
-    """Watches of 5 to 10 s made 27 calls a second of 200 gateways; those that keep the bound make 56."""
+def test_the_call_rate_of_an_idle_fleet_is_bounded(pushed: bool) -> None:
+    """200 gateways make 56 calls per second with watches that keep the limit; longer watches made 27."""
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={"a": entry("a")})
         for seed in range(200):
@@ -405,7 +410,7 @@
 
 
 @pytest.mark.parametrize("what", ANSWERS)
-def test_a_bad_list_allows_nothing_that_the_last_good_one_forbids_and_the_watch_goes_on(
+def test_a_malformed_list_changes_nothing_and_the_watch_goes_on(
     what: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test(loop: VirtualLoop) -> None:
@@ -414,11 +419,11 @@
         agent.change(entry("a", "DRAINING"), entry("b"))
         await asyncio.sleep(1.0)
         assert gateway.states == {"a": "draining", "b": "serving"}
-        link, = agent.links
+        connection, = agent.connections
         agent.watches.clear()
         caplog.clear()
         body = ANSWERS[what]
-        link.answer(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+        connection.answer(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         for _ in range(100):
             await asyncio.sleep(0.01)
             assert gateway.states.get("a") == "draining"
@@ -432,7 +437,7 @@
         play(test)
 
 
-def test_a_discovery_that_answers_with_old_changes_for_good_is_not_asked_without_a_pause() -> None:
+def test_calls_are_paused_while_discovery_answers_with_old_changes() -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, generation=9, entries={"a": entry("a")})
         gateway = Follower(loop, known=9)
@@ -441,13 +446,13 @@
         agent.generation, agent.entries, agent.always_changes = 2, {}, True
         before = len(agent.asked)
         await asyncio.sleep(10.0)
-        assert gateway.states == {} and len(gateway.told) == 1
-        assert len(agent.asked) - before <= 70  # a quarter of the grace apart, by half less at the least
+        assert gateway.states == {} and len(gateway.lists) == 1
+        assert len(agent.asked) - before <= 70  # a quarter of the grace apart, less the jitter
 
     play(test)
 
 
-def test_a_discovery_that_counts_anew_is_believed_once_it_says_so_twice() -> None:
+def test_a_restarted_generation_is_accepted_once_a_full_list_repeats_it() -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, generation=9, entries={"a": entry("a")})
         gateway = Follower(loop, known=9)
@@ -464,22 +469,22 @@
 
 
 @pytest.mark.parametrize("indent", [None, 4])
-def test_a_list_of_1024_backends_is_heard_by_a_gateway_of_1024(indent: int | None) -> None:
+def test_a_list_of_1024_backends_arrives_in_time_in_a_fleet_of_1024(indent: int | None) -> None:
     async def test(loop: VirtualLoop) -> None:
         agent = Agent(loop, entries={f"s-{n:08x}": entry(f"s-{n:08x}") for n in range(1024)}, indent=indent)
         gateway = Follower(loop, 1, 1024, known=None)
         await asyncio.sleep(0.1)
         assert len(gateway.states) == 1024
-        agent.fall_silent()
-        told = loop.time() + SILENCE
+        agent.silence_connections()
+        due_at = loop.time() + SILENCE
         agent.change(*(entry(f"s-{n:08x}", "DRAINING") for n in range(1024)))
-        await asyncio.sleep(told - loop.time())
+        await asyncio.sleep(due_at - loop.time())
         assert set(gateway.states.values()) == {"draining"}
 
     play(test)
 
 
-def test_no_room_is_no_silence() -> None:
+def test_an_overload_is_not_treated_as_silence() -> None:
     async def test(loop: VirtualLoop) -> None:
         Agent(loop)
         for grace in (GRACE, None):
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,7 +1,7 @@
-"""Time that jumps for tests of what follows discovery: the real client, a scripted agent, and no sockets.
+"""An event loop with virtual time for tests of the client of discovery, with a scripted agent and no sockets.
 
-The clock of the loop stands still while anything is to be done and then jumps to the next timer: seconds of
-silence cost nothing, and nothing rests on luck.
+The loop's clock stands still while callbacks are ready, and then jumps to the next timer: tests of long
+silences are fast and deterministic.
 """
 
 from __future__ import annotations
@@ -19,72 +19,72 @@
 from embersill.net.listing import Address, Listing
 from tests import peers
 
-AGENT: Address = ("agent", 1)
-WIRE = 0.001  # seconds that each way takes
+AGENT_ADDRESS: Address = ("agent", 1)
+DELAY = 0.001  # seconds for a message in one direction
 
 
-class Jump(selectors.DefaultSelector):
-    """Waits for nothing: it moves the clock instead."""
+class JumpingSelector(selectors.DefaultSelector):
+    """Advances the clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        assert timeout is not None, "nothing is left that could happen"
+        assert timeout is not None, "no timer is left"
         self.now += timeout
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Connections go to the agent that `agents` names at an address; where there is none they are refused."""
+    """Connects to the agent in `agents` at an address; where there is none, connections are refused."""
 
     def __init__(self) -> None:
-        self.jump = Jump()
-        super().__init__(self.jump)
+        self.selector = JumpingSelector()
+        super().__init__(self.selector)
         self.agents: dict[Address, Agent] = {}
 
     def time(self) -> float:
-        return self.jump.now
+        return self.selector.now
 
-    async def create_connection(  # type: ignore[override]  # of its forms only the one in use
+    async def create_connection(  # type: ignore[override]  # only the form in use
         self, factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> Any:
-        await asyncio.sleep(2 * WIRE)
+        await asyncio.sleep(2 * DELAY)
         agent = self.agents.get((host, port))
         while agent is not None and agent.unreachable:
-            await asyncio.sleep(WIRE)
+            await asyncio.sleep(DELAY)
         if agent is None or agent.refuses:
             raise ConnectionRefusedError("refused")
-        link = Link(self, agent, factory())
-        link.protocol.connection_made(link)
-        return link, link.protocol
+        connection = VirtualConnection(self, agent, factory())
+        connection.protocol.connection_made(connection)
+        return connection, connection.protocol
 
 
-class Link(asyncio.Transport):
-    """One connection of a gateway to the agent."""
+class VirtualConnection(asyncio.Transport):
+    """One connection from a gateway to the agent."""
 
     def __init__(self, loop: VirtualLoop, agent: Agent, protocol: DiscoveryConnection) -> None:
         super().__init__()
         self.loop, self.agent, self.protocol = loop, agent, protocol
         self.closed = False
-        self.silent = False  # for good
-        agent.links.append(self)
+        self.silent = False  # from now on no answer arrives
+        agent.connections.append(self)
 
     def write(self, data: Any) -> None:
-        self.loop.call_later(WIRE, self.agent.asked_on, self, bytes(data).decode())
+        self.loop.call_later(DELAY, self.agent.request_received, self, bytes(data).decode())
 
     def abort(self) -> None:
         if not self.closed:
             self.closed = True
-            self.agent.links.remove(self)
+            self.agent.connections.remove(self)
             self.loop.call_soon(self.protocol.connection_lost, None)
 
     def is_closing(self) -> bool:
         return self.closed
 
     def answer(self, data: bytes) -> None:
-        self.loop.call_later(WIRE, self.deliver, data)
+        self.loop.call_later(DELAY, self.deliver, data)
 
     def deliver(self, data: bytes) -> None:
         if not self.closed:
@@ -93,67 +93,69 @@
 
 @dataclass(eq=False)
 class Watch:
-    link: Link
+    """A call that is not answered yet."""
+
+    connection: VirtualConnection
     since: int | None
 
 
 @dataclass
 class Agent:
-    """Discovery as PROTOCOL has it, at one address, for all gateways of a test."""
+    """Discovery, as its protocol defines it, at one address for all gateways of a test."""
 
     loop: VirtualLoop
-    at: Address = AGENT
+    at: Address = AGENT_ADDRESS
     generation: int = 1
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     changes: list[tuple[int, dict[str, Any]]] = field(default_factory=list)
-    links: list[Link] = field(default_factory=list)
+    connections: list[VirtualConnection] = field(default_factory=list)
     watches: list[Watch] = field(default_factory=list)
-    asked: list[tuple[float, str]] = field(default_factory=list)  # when, and the target
-    took: list[float] = field(default_factory=list)  # when it took a call: one turned away takes no room
+    asked: list[tuple[float, str]] = field(default_factory=list)  # time and target of each call
+    accepted_at: list[float] = field(default_factory=list)  # times of calls that were not rejected
     down = refuses = unreachable = False
-    always_changes = False  # also to who asks for the whole list
-    forgets = False  # what was asked while it was down
-    silent_calls = 0  # so many of the next calls fall silent
-    room = 0  # calls a second that it serves, if above nought; the others get a 503
+    always_changes = False  # also in answer to requests for the full list
+    loses_pending = False  # calls during an outage are never answered
+    silent_calls = 0  # number of the next calls that are not answered
+    calls_per_second = 0  # limit, if above 0; calls beyond it get a 503
     indent: int | None = None
 
     def __post_init__(self) -> None:
         self.loop.agents[self.at] = self
 
-    def asked_on(self, link: Link, text: str) -> None:
-        if link.closed:
+    def request_received(self, connection: VirtualConnection, text: str) -> None:
+        if connection.closed:
             return
         now, target = self.loop.time(), text.split()[1]
         self.asked.append((now, target))
         if self.silent_calls:
             self.silent_calls -= 1
-            link.silent = True
-        if link.silent or self.down and self.forgets:
+            connection.silent = True
+        if connection.silent or self.down and self.loses_pending:
             return
-        if self.room and sum(now - 1.0 < at for at in self.took) >= self.room:
-            return link.answer(message(503))
-        self.took.append(now)
+        if self.calls_per_second and sum(now - 1.0 < at for at in self.accepted_at) >= self.calls_per_second:
+            return connection.answer(message(503))
+        self.accepted_at.append(now)
         found, wait = re.search(r"since=(\d+)", target), re.search(r"timeout_ms=(\d+)", target)
-        watch = Watch(link, int(found[1]) if found else None)
+        watch = Watch(connection, int(found[1]) if found else None)
         self.watches.append(watch)
         if watch.since is None or watch.since != self.generation:
-            self.tell(watch)
+            self.answer_watch(watch)
         else:
-            self.loop.call_later(int(wait[1]) / 1000.0 if wait else 0.0, self.tell, watch)
+            self.loop.call_later(int(wait[1]) / 1000.0 if wait else 0.0, self.answer_watch, watch)
 
-    def tell(self, watch: Watch) -> None:
-        """Answers, unless it has or can't; what has changed while it is down goes out at its return."""
+    def answer_watch(self, watch: Watch) -> None:
+        """Answers a call, unless that is done or the agent is down; `resume` sends what changed meanwhile."""
         if watch in self.watches and not self.down:
             self.watches.remove(watch)
-            if not (watch.link.silent or watch.link.closed):
-                watch.link.answer(message(200, self.listing(watch.since)))
+            if not (watch.connection.silent or watch.connection.closed):
+                watch.connection.answer(message(200, self.listing(watch.since)))
 
     def listing(self, since: int | None) -> bytes:
-        whole = (since is None or since > self.generation) and not self.always_changes
-        news = {e["instanceId"]: e for at, e in self.changes if not whole and at > (since or 0)}
-        told = {"generation": self.generation, "reset": whole,
-                "instances": list((self.entries if whole else news).values())}
-        return json.dumps(told, indent=self.indent).encode()
+        is_full = (since is None or since > self.generation) and not self.always_changes
+        changed = {e["instanceId"]: e for at, e in self.changes if not is_full and at > (since or 0)}
+        listing = {"generation": self.generation, "reset": is_full,
+                   "instances": list((self.entries if is_full else changed).values())}
+        return json.dumps(listing, indent=self.indent).encode()
 
     def change(self, *entries: dict[str, Any]) -> None:
         self.generation += 1
@@ -164,26 +166,26 @@
             else:
                 self.entries[entry["instanceId"]] = entry
         for watch in list(self.watches):
-            self.tell(watch)
+            self.answer_watch(watch)
 
-    def fall_silent(self) -> None:
-        for link in self.links:
-            link.silent = True
+    def silence_connections(self) -> None:
+        for connection in self.connections:
+            connection.silent = True
 
     def reset(self) -> None:
-        for link in list(self.links):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
-    def stop(self, forgets: bool) -> None:
-        self.down, self.forgets = True, forgets
-        if forgets:
-            self.fall_silent()
+    def stop(self, loses_pending: bool) -> None:
+        self.down, self.loses_pending = True, loses_pending
+        if loses_pending:
+            self.silence_connections()
 
-    def go_on(self) -> None:
-        self.down = self.forgets = False
+    def resume(self) -> None:
+        self.down = self.loses_pending = False
         for watch in list(self.watches):
             if watch.since != self.generation:
-                self.tell(watch)
+                self.answer_watch(watch)
 
 
 def entry(name: str, state: str = "SERVING") -> dict[str, Any]:
@@ -191,28 +193,28 @@
 
 
 class Follower:
-    """A gateway's discovery, and when it heard what."""
+    """The client of one gateway, and when it received which list."""
 
     def __init__(self, loop: VirtualLoop, seed: int = 1, gateways: int = 1, grace: float | None = 1.0,
-                 known: int | None = 1, addresses: tuple[Address, ...] = (AGENT,)) -> None:
-        self.loop, self.told = loop, list[tuple[float, Listing]]()
+                 known: int | None = 1, addresses: tuple[Address, ...] = (AGENT_ADDRESS,)) -> None:
+        self.loop, self.lists = loop, list[tuple[float, Listing]]()
         self.states: dict[str, str] = {}
-        self.discovery = Discovery(addresses, 0.25, self.hear, known, seed, gateways, grace)
+        self.discovery = Discovery(addresses, 0.25, self.on_list, known, seed, gateways, grace)
         self.task = loop.create_task(self.discovery.run())
 
-    def hear(self, listing: Listing) -> None:
-        self.told.append((self.loop.time(), listing))
+    def on_list(self, listing: Listing) -> None:
+        self.lists.append((self.loop.time(), listing))
         if listing.is_full:
             self.states = {}
         self.states.update({e.backend.address: e.backend.status.value for e in listing.entries})
 
-    def heard_at(self, generation: int) -> float:
-        """When it heard of this version or a newer one."""
-        return next((at for at, listing in self.told if listing.generation >= generation), float("inf"))
+    def received_at(self, generation: int) -> float:
+        """When it received this generation or a newer one; infinity if it did not."""
+        return next((at for at, listing in self.lists if listing.generation >= generation), float("inf"))
 
 
 def play(script: Callable[[VirtualLoop], Awaitable[None]]) -> None:
-    """Runs the script in a loop of its own; tasks that it left are ended."""
+    """Runs the script in a loop of its own; remaining tasks are cancelled."""
     loop = VirtualLoop()
     try:
         loop.run_until_complete(script(loop))
