--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -363,7 +363,8 @@
     async def test(loop: VirtualLoop) -> None:
         Agent(loop, OLD_ADDRESS, entries={"a": entry("a")})
         fleet = [
-            Follower(loop, seed, 8, GRACE if pushed else None, addresses=(OLD_ADDRESS,)) for seed in range(10)]
+            Follower(loop, seed, 8, GRACE if pushed else None, addresses=(OLD_ADDRESS,))
+            for seed in range(10)]
         await asyncio.sleep(3.0)
         FaultyAgent(loop, (first,) * len(fleet), generation=7, entries={"a": entry("a", "DRAINING")})
         for gateway in fleet:
