--- a/embersill/lab/node.py
+++ b/embersill/lab/node.py
@@ -62,9 +62,9 @@
     def time_out(self) -> None:
         if self.link is not None:
             self.end(Outcome.TIMED_OUT)
-            self.node.pool.drop_idle(self.backend)
+            self.node.pool.close_idle(self.backend)
         else:
-            self.end(self.node.pool.why_waiting(self))
+            self.end(self.node.pool.timeout_outcome(self))
 
     def end(self, outcome: Outcome) -> None:
         if self.ended:
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -116,9 +116,9 @@
             self.end(AttemptResult(Outcome.TIMED_OUT))
             # connections to a machine that lost its network stay open but silent: an attempt written to one
             # may have run, while an attempt whose connection could not be opened is known not to have run
-            connection.pool.drop_idle(self.backend)
+            connection.pool.close_idle(self.backend)
         else:  # it was never written, so it is known not to have run
-            self.end(AttemptResult(pool.why_waiting(self) if pool is not None else Outcome.NOT_SENT))
+            self.end(AttemptResult(pool.timeout_outcome(self) if pool is not None else Outcome.NOT_SENT))
 
 
 class BackendConnection(asyncio.BufferedProtocol, PooledConnection):
@@ -141,7 +141,7 @@
         """Prepares for the next answer."""
         self.parts: list[bytes] = []
         self.size, self.units, self.headers, self.status = 0, 0.0, b"", 0
-        self.in_head, self.head_size, self.trailers = True, 0, 0
+        self.in_head, self.head_size, self.trailer_size = True, 0, 0
         self.feeder.start()
         self.fields = FramingFields()
         self.length: int | None = None  # of the answer's body, where its head says
@@ -225,7 +225,7 @@
         elif self.transport is not None:
             self.transport.abort()
 
-    def is_up(self) -> bool:
+    def is_open(self) -> bool:
         """True while the connection is open."""
         return self.transport is not None and not self.transport.is_closing()
 
@@ -245,7 +245,7 @@
         if self.complete:
             return  # of a surplus message: the first answer counts
         if not self.in_head:
-            self.trailers += len(name) + len(value)  # trailers are counted and otherwise ignored
+            self.trailer_size += len(name) + len(value)  # trailers are counted and otherwise ignored
             return
         name = name.lower()
         if name == b"x-rejected":
@@ -352,7 +352,7 @@
             self.finish(attempt)
         elif (
             self.malformed or self.invalid_framing
-            or self.head_size > MAX_HEAD_BYTES or self.trailers > MAX_HEAD_BYTES
+            or self.head_size > MAX_HEAD_BYTES or self.trailer_size > MAX_HEAD_BYTES
         ):
             # a backend that answers at all may have run the request, however malformed the answer is
             attempt.end(AttemptResult(Outcome.CONNECTION_LOST))
@@ -381,7 +381,7 @@
 
     def end_reuse_delay(self) -> None:
         """Makes the connection available again, if it is still open."""
-        if self.is_up():
+        if self.is_open():
             self.pool.release(self)
 
     def failure_outcome(self) -> Outcome:
@@ -465,7 +465,7 @@
             failure = OpenFailure.LOCAL if error.errno in LOCAL_ERRORS else OpenFailure.REFUSED
         finally:
             connection.connect_task = None
-            if failure is None and connection.is_up():
+            if failure is None and connection.is_open():
                 self.pool.opening_succeeded(connection)
             else:
                 self.pool.opening_failed(connection, failure or OpenFailure.REFUSED)
--- a/embersill/net/discovery.py
+++ b/embersill/net/discovery.py
@@ -99,7 +99,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
 
-    def is_up(self) -> bool:
+    def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
     def request(self, target: str, host: str) -> asyncio.Future[bytes]:
@@ -295,7 +295,7 @@
             log.exception("applying list %d failed: requesting the full list", listing.generation)
             self.generation, self.feed.needs_full_list = None, True
 
-    def check_newer(self, listing: Listing) -> None:
+    def reject_older(self, listing: Listing) -> None:
         """Raises InvalidList for a list older than the current one; the full list is requested next.
 
         If that one is older too, discovery has restarted its generations or lost its list: it is accepted.
@@ -360,7 +360,7 @@
         self.figures["list asked"] += 1
         self.last_call_at = self.loop.time()
         async with asyncio.timeout(wait + self.answer_timeout(wait)) as limit:
-            if self.connection is not None and not self.connection.is_up():
+            if self.connection is not None and not self.connection.is_open():
                 # like a close during the call: discovery may be down, and a watch would find out late
                 raise ConnectionError("connection closed between calls")
             if self.connection is None:
@@ -386,7 +386,7 @@
             where = f"{self.address[0]}:{self.address[1]}"
             raise ReplicaLagging(
                 f"{where} is at list {listing.generation}, the gateway at {self.newest_generation}")
-        self.check_newer(listing)
+        self.reject_older(listing)
         self.current_at = self.loop.time() - connection.lag
         return listing
 
--- a/embersill/net/pool.py
+++ b/embersill/net/pool.py
@@ -204,7 +204,7 @@
         for connection, pool in list(self.idle_connections.items()):
             self.close_unassigned(pool, connection, "handed over")
 
-    def drop_idle(self, backend: str) -> None:
+    def close_idle(self, backend: str) -> None:
         """After an attempt timed out: connections to a machine that lost its network stay open but silent."""
         pool = self.backends.get(backend)
         while pool is not None and pool.idle:
@@ -232,7 +232,7 @@
             if not pool.waiting:
                 self.backends_waiting.pop(attempt.backend, None)
 
-    def why_waiting(self, attempt: Waiter) -> Outcome:
+    def timeout_outcome(self, attempt: Waiter) -> Outcome:
         """The outcome of an attempt that timed out in the queue.
 
         NO_CONNECTION while connections to its backend are being opened, else NOT_SENT: no slot was free.
--- a/tests/framing_model.py
+++ b/tests/framing_model.py
@@ -432,7 +432,7 @@
             self.peer.deliveries[first] = delivery
             self.dialer.pool.set_address(backend, self.address)
             ends = await self.attempt(backend, first), await self.attempt(backend, second)
-            self.dialer.pool.drop_idle(backend)
+            self.dialer.pool.close_idle(backend)
             return ends
 
     async def ask_all(self, deliveries: Sequence[Delivery]) -> list[tuple[Ended, Ended]]:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -466,7 +466,7 @@
         async with sending() as (sender, peer):
             sender.pool.set_address("nowhere", (HOST, free_port()))
             assert await sender.outcome() is Outcome.SERVED
-            sender.pool.drop_idle("b")
+            sender.pool.close_idle("b")
             await asyncio.sleep(0.01)
             before = len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
             ends = 0
@@ -480,7 +480,7 @@
                 ends += sum(ended.done() for _, ended in made)
             assert ends == 10_000
             await sender.rested()
-            sender.pool.drop_idle("b")
+            sender.pool.close_idle("b")
             async with asyncio.timeout(SOON):
                 while sender.pool.connections or peer.open:
                     await asyncio.sleep(0.01)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -168,7 +168,7 @@
     held = world.up(0)
     assert world.start("a").outcome is Outcome.NOT_SENT  # no connection to that backend can become free
     waits = world.start("b")
-    assert waits.outcome is None and world.pool.why_waiting(waits) is Outcome.NOT_SENT
+    assert waits.outcome is None and world.pool.timeout_outcome(waits) is Outcome.NOT_SENT
     world.done(held)
     assert waits.connection is held
 
@@ -367,7 +367,7 @@
         elif what == 5:
             self.pool.preconnect(backend, number)
         else:
-            self.pool.drop_idle(backend)
+            self.pool.close_idle(backend)
 
     @rule(seconds=st.sampled_from([0.001, 0.5, 10.0]))
     def later(self, seconds: float) -> None:
