--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -177,7 +177,7 @@
             self.connect_tasks.add(task)
             task.add_done_callback(self.connect_tasks.discard)
         words = ("CNT.ADD", name, f"{amount:.9g}", str(max(1, round(expire_after * 1000))))
-        connection.send(call, hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub allows one word
+        connection.send(call, hiredis.pack_command(words))  # type: ignore[arg-type]  # stub: one word
 
     def set_address(self, address: tuple[str, int]) -> None:
         """Sends further calls to another address; pending ones may still be answered by the previous one."""
