--- a/embersill/lab/scale/hollow.py
+++ b/embersill/lab/scale/hollow.py
@@ -29,7 +29,7 @@
 from embersill.net.discovery import Discovery
 from embersill.net.list_feed import ListReader
 from embersill.net.listing import Address, Listing, parse_listing
-from embersill.net.driver import EARLY
+from embersill.net.driver import DEADLINE_MARGIN
 
 AGGREGATOR_CONNECTIONS = 64  # at a gateway at the most, as a real one keeps room for
 
@@ -115,7 +115,7 @@
 
     async def deliver(self, listing: Listing) -> None:
         """Tells the gateway."""
-        self.feed.told(listing)
+        self.feed.on_list(listing)
 
     async def call(self) -> Listing:
         self.asked()
@@ -189,7 +189,7 @@
         self.closed = True
         if self.following is not None:
             self.following.cancel()
-        self.discovery.drop()
+        self.discovery.disconnect()
         if self.counter is not None:
             self.counter.close()
 
@@ -203,7 +203,7 @@
         plan = self.deployment.plan_of(drawn.customer)
         self.post(Request(
             self.taken, drawn.klass, plan.name, customer_name(drawn.customer),
-            unix_time() + BUDGET_SECONDS - EARLY, 1.0, self.deployment.size.spread,
+            unix_time() + BUDGET_SECONDS - DEADLINE_MARGIN, 1.0, self.deployment.size.spread,
             int(self.deployment.first_gateways[drawn.customer]), False))
 
     def list_asked(self) -> None:
@@ -220,8 +220,8 @@
         began = time.thread_time()
         self.post(BackendList(listing.kind, tuple(entry.backend for entry in listing.entries)))
         seconds = time.thread_time() - began
-        if listing.whole or listing.entries:
-            tally = self.process.whole_lists if listing.whole else self.process.changes
+        if listing.is_full or listing.entries:
+            tally = self.process.whole_lists if listing.is_full else self.process.changes
             tally.number += 1
             tally.bytes += self.process.parse_timer.last.bytes
             tally.seconds += seconds + self.process.parse_timer.last.seconds
--- a/embersill/net/trace.py
+++ b/embersill/net/trace.py
@@ -1,7 +1,7 @@
-"""The trace of single requests and of changes of state: a line of `name=value` pairs for each event.
+"""Trace of single requests and of changes of state: one line of `name=value` pairs per event.
 
-Off unless the environment variable EMBERSILL_TRACE is 1. At most LINES_PER_SECOND lines are written; what is
-left out is counted, and the count is told with the next line.
+It is off unless the environment variable EMBERSILL_TRACE is 1. At most LINES_PER_SECOND lines are written;
+further ones are dropped, and the next line reports their number.
 """
 
 from __future__ import annotations
@@ -10,55 +10,55 @@
 from collections import Counter as Tally
 from collections.abc import Callable, Mapping
 
-VARIABLE = "EMBERSILL_TRACE"
+ENVIRONMENT_VARIABLE = "EMBERSILL_TRACE"
 LINES_PER_SECOND = 2000.0  # a busy gateway writes some hundred: a flood must not fill a disk
-BURST = 4000.0  # lines that may come at once
-LAG_BOUNDS_MS = (5, 20, 50, 100, 200, 500)  # of the loop's lag, for its histogram
+BURST_LINES = 4000.0  # lines that may be written at once
+LAG_BOUNDS_MS = (5, 20, 50, 100, 200, 500)  # lower bounds of the loop lag histogram's buckets
 
 log = logging.getLogger("embersill.trace")
 
 
 class Trace:
-    """Writes the trace's lines, as many as its rate allows."""
+    """Writes trace lines within the rate limit."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.tokens, self.filled_at = BURST, clock()
-        self.left_out = 0
+        self.tokens, self.refilled_at = BURST_LINES, clock()
+        self.dropped_lines = 0
 
     def note(self, event: str, **fields: object) -> None:
-        """One event; floats are seconds."""
+        """Writes one event. Floats are in seconds."""
         now = self.clock()
-        self.tokens = min(BURST, self.tokens + LINES_PER_SECOND * (now - self.filled_at))
-        self.filled_at = now
+        self.tokens = min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at))
+        self.refilled_at = now
         if self.tokens < 1.0:
-            self.left_out += 1
+            self.dropped_lines += 1
             return
         self.tokens -= 1.0
-        if self.left_out:
-            fields["left_out"] = self.left_out
-            self.left_out = 0
-        log.info("at=%.4f event=%s %s", now, event, " ".join(map(as_pair, fields.items())))
+        if self.dropped_lines:
+            fields["left_out"] = self.dropped_lines
+            self.dropped_lines = 0
+        log.info("at=%.4f event=%s %s", now, event, " ".join(map(format_field, fields.items())))
 
 
-def as_pair(field: tuple[str, object]) -> str:
+def format_field(field: tuple[str, object]) -> str:
     name, value = field
     text = f"{value:.4f}" if isinstance(value, float) else str(value)
     return f'{name}="{text}"' if " " in text else f"{name}={text}"
 
 
 def make_trace(environ: Mapping[str, str], clock: Callable[[], float]) -> Trace | None:
-    """The trace, where the environment asks for it."""
-    return Trace(clock) if environ.get(VARIABLE) == "1" else None
+    """Returns a trace if the environment asks for one, else None."""
+    return Trace(clock) if environ.get(ENVIRONMENT_VARIABLE) == "1" else None
 
 
 class LoopLag:
-    """How late the loop's timers came, in steps of LAG_BOUNDS_MS; what comes in time is not counted."""
+    """Histogram of how late the loop's timers ran. A lag below the lowest of LAG_BOUNDS_MS is not counted."""
 
     def __init__(self) -> None:
         self.counts: Tally[str] = Tally()
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         reached = [bound for bound in LAG_BOUNDS_MS if 1000.0 * seconds >= bound]
         if reached:
             self.counts[f"loop late {reached[-1]} ms"] += 1
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -25,36 +25,36 @@
         return count["n"] % times == 0
 
     if name == "sends to what drains":
-        take_entry = control.Gateway.take_entry
+        take_entry = control.Gateway.apply_entry
 
         def keeps_draining(self, backend):
             if backend.status is BackendStatus.SERVING or self.servers.get(backend.address) is None:
                 take_entry(self, backend)
 
-        control.Gateway.take_entry = keeps_draining
+        control.Gateway.apply_entry = keeps_draining
         pool.Pool.retire = lambda self, backend: None
-        pool.Pool.forget_others = lambda self, known: None
+        pool.Pool.retire_unlisted = lambda self, known: None
     elif name == "stops following the list":
         run = discovery.Discovery.run
 
         async def follows_once(self):
-            self.heard.set()
-            if not self.newest:
+            self.has_responded.set()
+            if not self.newest_generation:
                 await run(self)
 
         discovery.Discovery.run = follows_once
     elif name == "goes on for clients that left":
-        driver.Driver.client_left = lambda self, number: None
-        driver.Driver.is_abandoned = lambda self, pending: pending.over
+        driver.Driver.on_client_disconnected = lambda self, number: None
+        driver.Driver.is_abandoned = lambda self, pending: pending.ended
     elif name == "tells backends more time":
-        use = pool.Pool.use
+        use = pool.Pool.assign
 
         def tells_more(self, place, link, attempt):
-            carry, link.carry = link.carry, lambda a, wait: carry(a, wait + 1.0)
+            carry, link.send = link.action_handlers, lambda a, wait: carry(a, wait + 1.0)
             use(self, place, link, attempt)
-            del link.carry
+            del link.send
 
-        pool.Pool.use = tells_more
+        pool.Pool.assign = tells_more
     elif name == "sends two copies":
         start = backends.Dialer.start
 
@@ -87,7 +87,7 @@
         driver.Driver.finish = changes
     elif name == "forgets to answer":
         refuse = driver.Driver.refuse
-        driver.Driver.rescue = lambda self, pending: None
+        driver.Driver.fail_unanswered = lambda self, pending: None
         driver.Driver.refuse = lambda self, action: None if every(2) else refuse(self, action)
     elif name == "closes without an answer":
         answer = clients.Exchange.answer
@@ -100,28 +100,28 @@
 
         clients.Exchange.answer = closes
     elif name == "crashes":
-        take = driver.Driver.take
+        take = driver.Driver.accept_request
 
         def crashes(self, call, exchange):
             if every(120):
                 os._exit(1)
             return take(self, call, exchange)
 
-        driver.Driver.take = crashes
+        driver.Driver.accept_request = crashes
     elif name == "takes cold backends for warm":
-        control.Server.cold_share = lambda self, now, settings: 1.0
+        control.Server.capacity_share = lambda self, now, settings: 1.0
     elif name == "passes ceilings":
         refill = control.Throttle.refill
 
         def unbounded(self, now):
             refill(self, now)
-            self.cap, self.level = 1e6, max(self.level, self.bank)
+            self.ceiling_level, self.quota_level = 1e6, max(self.quota_level, self.bank)
 
         control.Throttle.refill = unbounded
     elif name == "serves nobody":
-        control.Gateway.pressed = lambda self, job: True
+        control.Gateway.should_shed = lambda self, job: True
     elif name == "leaks descriptors":
-        take_socket = clients.Front.take
+        take_socket = clients.ClientServer.start_connection
 
         def leaks(self, sock, *told):
             for _ in range(20):
@@ -131,26 +131,26 @@
                     break
             take_socket(self, sock, *told)
 
-        clients.Front.take = leaks
+        clients.ClientServer.start_connection = leaks
     elif name == "leaks memory":
-        kept, taken = [], driver.Driver.take
+        kept, taken = [], driver.Driver.accept_request
 
         def keeps(self, call, exchange):
             kept.append(bytearray(os.urandom(64)) * 16384)
             return taken(self, call, exchange)
 
-        driver.Driver.take = keeps
+        driver.Driver.accept_request = keeps
     elif name == "waits for half requests for ever":
-        clients.ClientConnection.hurry = lambda self, now: None
+        clients.ClientConnection.check_timeouts = lambda self, now: None
     elif name == "drops all at SIGTERM":
-        set_attribute = clients.Front.__setattr__
+        set_attribute = clients.ClientServer.__setattr__
 
         def ends(self, name, value):
             set_attribute(self, name, value)
             if name == "stopping" and value:
                 os._exit(0)
 
-        clients.Front.__setattr__ = ends
+        clients.ClientServer.__setattr__ = ends
     else:
         raise ValueError(f"no mutant {name!r}")
 
