--- a/embersill/directory/follower.py
+++ b/embersill/directory/follower.py
@@ -9,22 +9,22 @@
 
 import aiohttp
 
-from embersill.directory.form import BadForm, record_from_json
-from embersill.directory.logfile import NotWritten
+from embersill.directory.form import InvalidFormat, record_from_json
+from embersill.directory.logfile import WriteFailed
 from embersill.directory.service import Service
 
-WAIT_MS = 2000  # a call's wait: the lag is known to as much
-ANSWER_WITHIN = 5.0  # seconds past the wait; a whole list of thousands takes a fraction of one
-FIRST_BACK_OFF, MOST_BACK_OFF = (
+CALL_WAIT_MS = 2000  # a call's wait: the lag is known to as much
+ANSWER_TIMEOUT = 5.0  # seconds past the wait; a whole list of thousands takes a fraction of one
+MIN_BACKOFF, MAX_BACKOFF = (
     0.1,
     5.0,
 )  # seconds, doubled each time: followers are few, and a leader starts in one
-JITTER = 0.5  # of a pause, more or less
+BACKOFF_JITTER = 0.5  # of a pause, more or less
 
 log = logging.getLogger("embersill.directory")
 
 
-class Unusable(Exception):
+class UnusableAnswer(Exception):
     """The leader answered with something else than its changes."""
 
 
@@ -37,11 +37,11 @@
         self.failing = False
 
     async def run(self) -> None:
-        back_off = FIRST_BACK_OFF
+        back_off = MIN_BACKOFF
         async with aiohttp.ClientSession() as session:
             while True:
                 try:
-                    await self.call(session)
+                    await self.fetch_changes(session)
                 except (
                     aiohttp.ClientError,
                     TimeoutError,
@@ -49,15 +49,17 @@
                     ValueError,
                     KeyError,
                     TypeError,
-                    BadForm,
-                    NotWritten,
-                    Unusable,
+                    InvalidFormat,
+                    WriteFailed,
+                    UnusableAnswer,
                 ) as error:
-                    self.failed(error)
-                    await asyncio.sleep(back_off * (1.0 + JITTER * (2.0 * self.random.random() - 1.0)))
-                    back_off = min(2 * back_off, MOST_BACK_OFF)
+                    self.record_failure(error)
+                    await asyncio.sleep(
+                        back_off * (1.0 + BACKOFF_JITTER * (2.0 * self.random.random() - 1.0))
+                    )
+                    back_off = min(2 * back_off, MAX_BACKOFF)
                     continue
-                back_off = FIRST_BACK_OFF
+                back_off = MIN_BACKOFF
                 if self.failing:
                     log.info(
                         "the leader %s answers again, generation %d",
@@ -66,7 +68,7 @@
                     )
                 self.failing = False
 
-    def failed(self, error: Exception) -> None:
+    def record_failure(self, error: Exception) -> None:
         self.service.figures["copying failed"] += 1
         if not self.failing:  # the first of them: a leader may be away for long
             log.warning(
@@ -74,20 +76,20 @@
             )
         self.failing = True
 
-    async def call(self, session: aiohttp.ClientSession) -> None:
+    async def fetch_changes(self, session: aiohttp.ClientSession) -> None:
         service = self.service
-        target = f"http://{self.leader}/v1/changes?after={service.store.generation}&timeout_ms={WAIT_MS}"
-        timeout = aiohttp.ClientTimeout(total=WAIT_MS / 1000 + ANSWER_WITHIN)
+        target = f"http://{self.leader}/v1/changes?after={service.store.generation}&timeout_ms={CALL_WAIT_MS}"
+        timeout = aiohttp.ClientTimeout(total=CALL_WAIT_MS / 1000 + ANSWER_TIMEOUT)
         async with session.get(target, timeout=timeout) as answer:
             body = await answer.read()
             if answer.status != 200:
-                raise Unusable(f"status {answer.status}: {body[:200].decode(errors='replace')}")
+                raise UnusableAnswer(f"status {answer.status}: {body[:200].decode(errors='replace')}")
         told = json.loads(body)
         if told["reset"]:
             if service.store.generation:
                 log.warning("the leader's history does not hold generation %d", service.store.generation)
             log.info("the leader's whole list is taken, at generation %d", told["generation"])
-            await service.copy_all(told["list"])
+            await service.replace_list(told["list"])
         else:
-            await service.copy([record_from_json(r) for r in told["records"]])
-        service.contact = service.clock()
+            await service.replicate([record_from_json(r) for r in told["records"]])
+        service.last_contact_at = service.clock()
--- a/embersill/directory/front.py
+++ b/embersill/directory/front.py
@@ -15,128 +15,136 @@
 
 from embersill.directory.form import (
     DRAINING,
-    NAME,
-    REMARK,
+    NAME_PATTERN,
+    REMARK_PATTERN,
     SERVING,
-    BadForm,
-    choice,
-    only,
+    InvalidFormat,
+    entry_to_json,
+    read_choice,
     read_json,
     read_name,
     read_registration,
-    text,
-    told,
+    read_text,
+    reject_unknown_fields,
 )
-from embersill.directory.logfile import NotWritten
-from embersill.directory.service import Elsewhere, NotReady, Service, Stopped, Write
-from embersill.directory.store import Condition, Conflict, State, Unconditional, Unknown
-
-MOST_BODY = 16 * 1024  # bytes: a registration has some hundred
-MOST_WAIT_MS = 60_000  # the protocol's
-MOST_NUMBER = 10**18  # a version further on is none: they are microseconds
-FIRST_CALL_WITHIN = 5.0  # seconds for a new connection to bring a whole call, or it is closed
-IDLE_FOR = 75.0  # seconds that a connection without a call is kept: over the longest wait
-WRITE_WITHIN = 10.0  # seconds for a reader to take its answer
-RETRY_WRITE = 5  # seconds told to a writer whose write could not be stored
-SAID, SAY_EVERY = 10, 10.0  # lines about refused calls in so many seconds: a broken client sends thousands
+from embersill.directory.logfile import WriteFailed
+from embersill.directory.service import NotLeader, NotReady, Service, ServiceStopping, Write
+from embersill.directory.store import Condition, ConditionMissing, Conflict, InstanceState, UnknownInstance
+
+MAX_BODY_BYTES = 16 * 1024  # bytes: a registration has some hundred
+MAX_WAIT_MS = 60_000  # the protocol's
+MAX_GENERATION = 10**18  # a version further on is none: they are microseconds
+FIRST_REQUEST_TIMEOUT = 5.0  # seconds for a new connection to bring a whole call, or it is closed
+KEEPALIVE_TIMEOUT = 75.0  # seconds that a connection without a call is kept: over the longest wait
+WRITE_TIMEOUT = 10.0  # seconds for a reader to take its answer
+WRITE_RETRY_AFTER = 5  # seconds told to a writer whose write could not be stored
+MAX_WINDOW_LINES, LOG_WINDOW = (
+    10,
+    10.0,
+)  # lines about refused calls in so many seconds: a broken client sends thousands
 
 log = logging.getLogger("embersill.directory")
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-class BoundedLog:
+class RateLimitedLog:
     """Lines at a bounded rate; what was left out is counted and told with the next."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.until, self.said, self.left_out = clock(), 0, 0
+        self.window_ends_at, self.window_lines, self.dropped_lines = clock(), 0, 0
 
-    def say(self, text: str) -> None:
+    def warn(self, text: str) -> None:
         now = self.clock()
-        if now >= self.until:
-            self.until, self.said = now + SAY_EVERY, 0
-        if self.said >= SAID:
-            self.left_out += 1
+        if now >= self.window_ends_at:
+            self.window_ends_at, self.window_lines = now + LOG_WINDOW, 0
+        if self.window_lines >= MAX_WINDOW_LINES:
+            self.dropped_lines += 1
             return
-        self.said += 1
-        more, self.left_out = self.left_out, 0
+        self.window_lines += 1
+        more, self.dropped_lines = self.dropped_lines, 0
         log.warning("%s%s", text, f" ({more} such lines before it left out)" if more else "")
 
 
-class OneLine(logging.Filter):
+class LibraryLogFilter(logging.Filter):
     """What the HTTP library has to say of a broken call: without its trace, and at the same bounded rate."""
 
-    def __init__(self, lines: BoundedLog) -> None:
+    def __init__(self, lines: RateLimitedLog) -> None:
         super().__init__()
-        self.lines = lines
+        self.rate_limited_log = lines
 
     def filter(self, record: logging.LogRecord) -> bool:
         cause = record.exc_info[1] if record.exc_info else None
         why = " ".join(str(cause).split())[:200] if cause else ""
-        self.lines.say(f"{record.getMessage()}: {why}" if why else record.getMessage())
+        self.rate_limited_log.warn(f"{record.getMessage()}: {why}" if why else record.getMessage())
         return False
 
 
-def answer(status: int, content: Any, headers: Mapping[str, str] | None = None) -> web.Response:
+def json_response(status: int, content: Any, headers: Mapping[str, str] | None = None) -> web.Response:
     body = content if isinstance(content, bytes) else json.dumps(content, separators=(",", ":")).encode()
     return web.Response(status=status, body=body, content_type="application/json", headers=headers)
 
 
-def refusal(status: int, why: str, **headers: str) -> web.Response:
-    return answer(status, {"error": why}, {k.replace("_", "-"): v for k, v in headers.items()})
+def error_response(status: int, why: str, **headers: str) -> web.Response:
+    return json_response(status, {"error": why}, {k.replace("_", "-"): v for k, v in headers.items()})
 
 
-def number(query: Mapping[str, str], name: str, most: int) -> int | None:
+def read_query_integer(query: Mapping[str, str], name: str, most: int) -> int | None:
     value = query.get(name)
     if value is None:
         return None
     if not (value.isascii() and value.isdecimal() and len(value) <= 19 and int(value) <= most):
-        raise BadForm(f"{name} is no whole number from 0 to {most}")
+        raise InvalidFormat(f"{name} is no whole number from 0 to {most}")
     return int(value)
 
 
 def read_condition(headers: Mapping[str, str]) -> Condition:
     """What a write rests on: the id's version, that it is not there, and maybe the whole list's version."""
     of_list = headers.get("List-Match")
-    return replace(read_match(headers), list=None if of_list is None else version(of_list, "List-Match"))
+    return replace(
+        read_version_condition(headers),
+        list_version=None if of_list is None else parse_version(of_list, "List-Match"),
+    )
 
 
-def version(text: str, name: str) -> int:
+def parse_version(text: str, name: str) -> int:
     bare = text.strip()
     digits = bare[1:-1]
     if not (bare[:1] == bare[-1:] == '"' and digits.isascii() and digits.isdecimal() and len(digits) <= 19):
-        raise BadForm(f'{name} is no version in double quotes, as "17"')
+        raise InvalidFormat(f'{name} is no version in double quotes, as "17"')
     return int(digits)
 
 
-def read_match(headers: Mapping[str, str]) -> Condition:
+def read_version_condition(headers: Mapping[str, str]) -> Condition:
     match, none = headers.get("If-Match"), headers.get("If-None-Match")
     if match is not None and none is not None:
-        raise BadForm("If-Match and If-None-Match exclude each other")
+        raise InvalidFormat("If-Match and If-None-Match exclude each other")
     if none is not None:
         if none.strip() != "*":
-            raise BadForm("If-None-Match can only be *")
-        return Condition(absent=True)
-    return Condition() if match is None else Condition(version=version(match, "If-Match"))
+            raise InvalidFormat("If-None-Match can only be *")
+        return Condition(must_be_absent=True)
+    return Condition() if match is None else Condition(version=parse_version(match, "If-Match"))
 
 
-def end_unread(transport: asyncio.BaseTransport) -> None:
+def abort_if_unread(transport: asyncio.BaseTransport) -> None:
     """A reader that does not take its answer holds the memory of it."""
     if isinstance(transport, asyncio.Transport) and transport.get_write_buffer_size():
         transport.abort()
 
 
-class Front:
+class ListApi:
     """The calls, each a method; what a call is refused for is answered in one place."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
-        self.refusals = BoundedLog(service.clock)
+        self.refusal_log = RateLimitedLog(service.clock)
         self.library_log = logging.Logger("aiohttp")  # this service's own, not the process's
-        self.library_log.addFilter(OneLine(self.refusals))
-        self.heard: WeakSet[asyncio.BaseTransport] = WeakSet()  # connections that brought a whole call
-        self.app = web.Application(client_max_size=MOST_BODY, middlewares=[self.guard])
+        self.library_log.addFilter(LibraryLogFilter(self.refusal_log))
+        self.used_connections: WeakSet[asyncio.BaseTransport] = (
+            WeakSet()
+        )  # connections that brought a whole call
+        self.app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self.handle_errors])
         self.app.add_routes(
             [
                 web.get("/v1/endpoints", self.endpoints),
@@ -148,9 +156,9 @@
                 web.post("/v1/instances/{id}/lease", self.renew),
                 web.put("/v1/instances/{id}/lifecycle", self.set_lifecycle),
                 web.put("/v1/instances/{id}/drain", self.drain),
-                web.delete("/v1/instances/{id}/drain", self.lift),
+                web.delete("/v1/instances/{id}/drain", self.lift_drain),
                 web.get("/v1/drains", self.drains),
-                web.post("/v1/leases/resume", self.resume),
+                web.post("/v1/leases/resume", self.resume_removal),
                 web.get("/v1/status", self.status),
                 web.get("/ready", self.ready),
             ]
@@ -159,72 +167,74 @@
     # what every call goes through
 
     @web.middleware
-    async def guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def handle_errors(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         if request.transport is not None:
-            self.heard.add(request.transport)
+            self.used_connections.add(request.transport)
         try:
             response = await handler(request)
         except Exception as error:
-            response = self.refused(error)
+            response = self.response_to_error(error)
             self.service.figures[f"refused {response.status}"] += 1
-            self.refusals.say(
+            self.refusal_log.warn(
                 f"{request.method} {request.path[:200]!r} from {request.remote}: {response.status} "
-                f"{self.why(response)}"
+                f"{self.error_text(response)}"
             )
         if self.service.stopping.is_set():
             response.force_close()
         if request.transport is not None:
-            asyncio.get_running_loop().call_later(WRITE_WITHIN, end_unread, request.transport)
+            asyncio.get_running_loop().call_later(WRITE_TIMEOUT, abort_if_unread, request.transport)
         return response
 
-    def end_silent(self, connection: asyncio.BaseProtocol) -> None:
+    def abort_if_unused(self, connection: asyncio.BaseProtocol) -> None:
         """A connection that brought no whole call in its time holds a descriptor for nothing."""
         transport = getattr(connection, "transport", None)
-        if isinstance(transport, asyncio.Transport) and transport not in self.heard:
+        if isinstance(transport, asyncio.Transport) and transport not in self.used_connections:
             transport.abort()
 
-    def refused(self, error: Exception) -> web.Response:
+    def response_to_error(self, error: Exception) -> web.Response:
         """Every refusal with its reason; an error of this program's own is logged and told as such."""
-        waits = {"Retry_After": str(self.service.back_in())}
+        waits = {"Retry_After": str(self.service.retry_after())}
         match error:
-            case BadForm():
-                return refusal(400, str(error))
-            case Unknown():
-                return refusal(404, str(error))
+            case InvalidFormat():
+                return error_response(400, str(error))
+            case UnknownInstance():
+                return error_response(404, str(error))
             case Conflict():
-                return refusal(412, str(error))
-            case Unconditional():
-                return refusal(428, str(error))
-            case Elsewhere():
-                return refusal(421, f"this is a copy; the leader is {error}", Leader=str(error))
+                return error_response(412, str(error))
+            case ConditionMissing():
+                return error_response(428, str(error))
+            case NotLeader():
+                return error_response(421, f"this is a copy; the leader is {error}", Leader=str(error))
             case NotReady():
-                return refusal(503, str(error), **waits)
-            case NotWritten():
-                return refusal(503, f"the write could not be stored: {error}", Retry_After=str(RETRY_WRITE))
-            case Stopped():
-                return refusal(503, "the service ends", **waits)
+                return error_response(503, str(error), **waits)
+            case WriteFailed():
+                return error_response(
+                    503, f"the write could not be stored: {error}", Retry_After=str(WRITE_RETRY_AFTER)
+                )
+            case ServiceStopping():
+                return error_response(503, "the service ends", **waits)
             case web.HTTPRequestEntityTooLarge():
-                return refusal(413, f"the body is over {MOST_BODY} bytes", Connection="close")
+                return error_response(413, f"the body is over {MAX_BODY_BYTES} bytes", Connection="close")
             case web.HTTPException():
-                return refusal(error.status, error.reason)
+                return error_response(error.status, error.reason)
         log.error("a call went wrong", exc_info=error)
-        return refusal(500, "an error of the list service itself; its log has more")
+        return error_response(500, "an error of the list service itself; its log has more")
 
-    def why(self, response: web.Response) -> str:
+    def error_text(self, response: web.Response) -> str:
         body = response.body
         return body[:300].decode() if isinstance(body, bytes) else ""
 
     # reading
 
     async def endpoints(self, request: web.Request) -> web.Response:
-        since = number(request.query, "since", MOST_NUMBER)
-        wait_ms = number(request.query, "timeout_ms", MOST_WAIT_MS)
+        since = read_query_integer(request.query, "since", MAX_GENERATION)
+        wait_ms = read_query_integer(request.query, "timeout_ms", MAX_WAIT_MS)
         self.service.figures["watches" if since is not None and wait_ms else "reads"] += 1
-        body = await self.service.read(since, (wait_ms or 0) / 1000.0)
+        body = await self.service.read_list(since, (wait_ms or 0) / 1000.0)
         self.service.figures["bytes told"] += len(body)
-        return answer(200, body, self.standing())
+        return json_response(200, body, self.role_headers())
 
-    def standing(self) -> dict[str, str]:
+    def role_headers(self) -> dict[str, str]:
         """Told beside the list: whether this is the leader's, and how long a copy has not heard of it."""
         lag = self.service.lag()
         if self.service.leader is None:
@@ -232,28 +242,28 @@
         return {"Directory-Role": "follower"} | ({"Directory-Lag": f"{lag:.1f}"} if lag is not None else {})
 
     async def changes(self, request: web.Request) -> web.Response:
-        after = number(request.query, "after", MOST_NUMBER)
+        after = read_query_integer(request.query, "after", MAX_GENERATION)
         if after is None:
-            raise BadForm("after is missing")
-        wait_ms = number(request.query, "timeout_ms", MOST_WAIT_MS)
-        return answer(200, await self.service.changes(after, (wait_ms or 0) / 1000.0))
+            raise InvalidFormat("after is missing")
+        wait_ms = read_query_integer(request.query, "timeout_ms", MAX_WAIT_MS)
+        return json_response(200, await self.service.changes(after, (wait_ms or 0) / 1000.0))
 
     async def instances(self, request: web.Request) -> web.Response:
         states = self.service.store.states
-        shown = [self.show(id, s) for id, s in states.items() if s.entry is not None]
-        return answer(200, {"generation": self.service.store.generation, "instances": shown})
+        shown = [self.describe(id, s) for id, s in states.items() if s.entry is not None]
+        return json_response(200, {"generation": self.service.store.generation, "instances": shown})
 
     async def instance(self, request: web.Request) -> web.Response:
-        id = self.id(request)
+        id = self.instance_id(request)
         state = self.service.store.states.get(id)
         if state is None or state.entry is None:
-            raise Unknown(f"{id} is not registered")
-        return self.shown(200, id, state)
+            raise UnknownInstance(f"{id} is not registered")
+        return self.state_response(200, id, state)
 
-    def show(self, id: str, state: State) -> dict[str, Any]:
-        shown = told(id, state.entry, state.drain) | {"version": state.version}
+    def describe(self, id: str, state: InstanceState) -> dict[str, Any]:
+        shown = entry_to_json(id, state.entry, state.drain) | {"version": state.version}
         if state.entry is not None:
-            left = self.service.leases.left(id, self.service.clock())
+            left = self.service.leases.remaining(id, self.service.clock())
             shown |= {
                 "process": state.entry.process,
                 "leaseMs": state.entry.lease_ms,
@@ -264,27 +274,27 @@
             shown["drain"] = {"by": state.drain.by, "reason": state.drain.reason, "atMs": state.drain.at_ms}
         return shown
 
-    def shown(self, status: int, id: str, state: State | None) -> web.Response:
+    def state_response(self, status: int, id: str, state: InstanceState | None) -> web.Response:
         if state is None:
-            return answer(200, {"instanceId": id, "lifecycle": "DELETED"})
-        return answer(status, self.show(id, state), {"ETag": f'"{state.version}"'})
+            return json_response(200, {"instanceId": id, "lifecycle": "DELETED"})
+        return json_response(status, self.describe(id, state), {"ETag": f'"{state.version}"'})
 
     async def drains(self, request: web.Request) -> web.Response:
         states = self.service.store.states
-        return answer(
+        return json_response(
             200,
             {
                 "generation": self.service.store.generation,
-                "drains": [self.show(id, s) for id, s in states.items() if s.drain is not None],
+                "drains": [self.describe(id, s) for id, s in states.items() if s.drain is not None],
             },
         )
 
     # writing
 
-    def id(self, request: web.Request) -> str:
+    def instance_id(self, request: web.Request) -> str:
         return read_name(request.match_info["id"], "the instance's id")
 
-    async def body(self, request: web.Request) -> dict[str, Any]:
+    async def json_body(self, request: web.Request) -> dict[str, Any]:
         return read_json(await request.read())
 
     async def write(self, id: str, write: Write, line: str) -> web.Response:
@@ -292,30 +302,36 @@
         if done.changed:
             log.info("%s %s, generation %d", id, line, self.service.store.generation)
         self.service.figures["writes" if done.changed else "writes repeated"] += 1
-        return self.shown(201 if done.created else 200, id, done.state)
+        return self.state_response(201 if done.created else 200, id, done.state)
 
     async def register(self, request: web.Request) -> web.Response:
-        id, condition = self.id(request), read_condition(request.headers)
-        told = read_registration(await self.body(request), int(self.service.wall() * 1000))
+        id, condition = self.instance_id(request), read_condition(request.headers)
+        told = read_registration(await self.json_body(request), int(self.service.wall() * 1000))
         entry = told.entry
         response = await self.write(
             id,
             lambda draft: draft.register(id, told, condition),
             f"registered at {entry.host_port} by process {entry.process}",
         )
-        self.service.renewed(id, entry.lease_ms)
+        self.service.extend_lease(id, entry.lease_ms)
         return response
 
     async def renew(self, request: web.Request) -> web.Response:
-        id, body = self.id(request), await self.body(request)
-        only(body, "process")
-        return self.shown(200, id, self.service.renew(id, text(body, "process", NAME)).state)
+        id, body = self.instance_id(request), await self.json_body(request)
+        reject_unknown_fields(body, "process")
+        return self.state_response(
+            200, id, self.service.renew(id, read_text(body, "process", NAME_PATTERN)).state
+        )
 
     async def set_lifecycle(self, request: web.Request) -> web.Response:
-        id, condition, body = self.id(request), read_condition(request.headers), await self.body(request)
-        only(body, "process", "lifecycle")
-        process = text(body, "process", NAME)
-        lifecycle = choice(body, "lifecycle", (SERVING, DRAINING))
+        id, condition, body = (
+            self.instance_id(request),
+            read_condition(request.headers),
+            await self.json_body(request),
+        )
+        reject_unknown_fields(body, "process", "lifecycle")
+        process = read_text(body, "process", NAME_PATTERN)
+        lifecycle = read_choice(body, "lifecycle", (SERVING, DRAINING))
         return await self.write(
             id,
             lambda draft: draft.set_lifecycle(id, process, lifecycle, condition),
@@ -323,31 +339,37 @@
         )
 
     async def drain(self, request: web.Request) -> web.Response:
-        id, condition, body = self.id(request), read_condition(request.headers), await self.body(request)
-        only(body, "by", "reason")
-        by, reason = text(body, "by", REMARK), text(body, "reason", REMARK, "")
+        id, condition, body = (
+            self.instance_id(request),
+            read_condition(request.headers),
+            await self.json_body(request),
+        )
+        reject_unknown_fields(body, "by", "reason")
+        by, reason = read_text(body, "by", REMARK_PATTERN), read_text(body, "reason", REMARK_PATTERN, "")
         return await self.write(
             id, lambda draft: draft.drain(id, by, reason, condition), f"is drained by {by}: {reason}"
         )
 
-    async def lift(self, request: web.Request) -> web.Response:
-        id, condition = self.id(request), read_condition(request.headers)
-        return await self.write(id, lambda draft: draft.lift(id, condition), "is no longer drained by staff")
+    async def lift_drain(self, request: web.Request) -> web.Response:
+        id, condition = self.instance_id(request), read_condition(request.headers)
+        return await self.write(
+            id, lambda draft: draft.lift_drain(id, condition), "is no longer drained by staff"
+        )
 
     async def remove(self, request: web.Request) -> web.Response:
-        id, condition = self.id(request), read_condition(request.headers)
+        id, condition = self.instance_id(request), read_condition(request.headers)
         return await self.write(id, lambda draft: draft.remove(id, condition), "is removed")
 
-    async def resume(self, request: web.Request) -> web.Response:
-        return answer(200, {"removed": await self.service.resume()})
+    async def resume_removal(self, request: web.Request) -> web.Response:
+        return json_response(200, {"removed": await self.service.resume_removal()})
 
     # health
 
     async def status(self, request: web.Request) -> web.Response:
-        return answer(200, self.service.status())
+        return json_response(200, self.service.status())
 
     async def ready(self, request: web.Request) -> web.Response:
         status = self.service.status()
         if not status["ready"]:
-            return refusal(503, status["why"], Retry_After=str(self.service.back_in()))
-        return answer(200, {"ready": True, "role": status["role"], "generation": status["generation"]})
+            return error_response(503, status["why"], Retry_After=str(self.service.retry_after()))
+        return json_response(200, {"ready": True, "role": status["role"], "generation": status["generation"]})
--- a/embersill/directory/service.py
+++ b/embersill/directory/service.py
@@ -19,22 +19,24 @@
 from math import inf
 from typing import Any
 
-from embersill.directory.form import BadForm, Record, record_to_json
+from embersill.directory.form import InvalidFormat, Record, record_to_json
 from embersill.directory.leases import Leases
-from embersill.directory.logfile import Log, NotWritten
-from embersill.directory.store import Done, Draft, Refused, Store
+from embersill.directory.logfile import Log, WriteFailed
+from embersill.directory.store import Draft, Store, WriteRefused, WriteResult
 
-TICK = 0.5  # seconds between looks at the leases: a tenth of a short one's life is not noticed
-GATHER = (
+LEASE_CHECK_INTERVAL = (
+    0.5  # seconds between looks at the leases: a tenth of a short one's life is not noticed
+)
+PUBLISH_DELAY = (
     0.02  # seconds that changes are gathered before watchers are told: a joint start comes as some few lists,
 )
 # and a drain has a second
-MOST_WATCHERS = 2000  # ten times the fleet of 200 gateways; each costs a connection and some KB
-MOST_BATCH = 256  # writes synced together: bounds how long the first of them waits
-RECOVER_EVERY = 1.0  # seconds between tries to write the log anew after it could not be synced
-CACHED = 64  # encoded answers kept of one version: watchers stand at few versions
-BACK_IN = (1.0, 5.0)  # seconds told to readers without a place: many are turned away together
-FOLLOWER = "follows"  # the file that marks a folder as a copy
+MAX_WATCHERS = 2000  # ten times the fleet of 200 gateways; each costs a connection and some KB
+MAX_BATCH_WRITES = 256  # writes synced together: bounds how long the first of them waits
+RECOVERY_INTERVAL = 1.0  # seconds between tries to write the log anew after it could not be synced
+MAX_CACHED_ANSWERS = 64  # encoded answers kept of one version: watchers stand at few versions
+RETRY_AFTER_RANGE = (1.0, 5.0)  # seconds told to readers without a place: many are turned away together
+FOLLOWER_MARK = "follows"  # the file that marks a folder as a copy
 
 log = logging.getLogger("embersill.directory")
 
@@ -44,7 +46,7 @@
     data: pathlib.Path
     follow: str | None = None
     promote: bool = False
-    watchers: int = MOST_WATCHERS
+    watchers: int = MAX_WATCHERS
     fill: float = 10.0  # seconds after the first registration in a list that began anew until it is told
     share: float = 0.2
 
@@ -53,15 +55,15 @@
     """Reads can't be answered yet, or not to this reader; it keeps what it has."""
 
 
-class Elsewhere(Exception):
+class NotLeader(Exception):
     """Only the leader takes writes."""
 
 
-class Stopped(Exception):
+class ServiceStopping(Exception):
     """The service ends."""
 
 
-Write = Callable[[Draft], Done]
+Write = Callable[[Draft], WriteResult]
 
 
 class Service:
@@ -81,23 +83,23 @@
         mark_role(options)
         self.store = self.log.store
         self.leases = Leases(clock(), options.share)
-        self.recover_at = -inf  # when new files may be tried after the log could not be synced
-        self.began = clock()
-        self.told_from: float | None = (
-            None if self.log.fresh else self.began
+        self.next_recovery_at = -inf  # when new files may be tried after the log could not be synced
+        self.started_at = clock()
+        self.readable_from: float | None = (
+            None if self.log.is_new else self.started_at
         )  # when a list begun anew is told
-        self.contact: float | None = None  # a follower's last word from its leader
-        self.watchers = 0
-        self.news = asyncio.Event()  # replaced by another each time that it is set
-        self.publisher: asyncio.TimerHandle | None = None
-        self.writes: asyncio.Queue[tuple[Write, asyncio.Future[Done]]] = asyncio.Queue()
-        self.encoded: OrderedDict[int | None, bytes] = OrderedDict()
-        self.encoded_at = -1
+        self.last_contact_at: float | None = None  # a follower's last word from its leader
+        self.watcher_count = 0
+        self.list_changed = asyncio.Event()  # replaced by another each time that it is set
+        self.publish_timer: asyncio.TimerHandle | None = None
+        self.write_queue: asyncio.Queue[tuple[Write, asyncio.Future[WriteResult]]] = asyncio.Queue()
+        self.encoded_answers: OrderedDict[int | None, bytes] = OrderedDict()
+        self.encoded_generation = -1
         self.figures: Tally[str] = Tally()
         self.stopping = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
-        self.writing: asyncio.Task[None] | None = None  # a batch on its way to the disk
-        self.disk: asyncio.Future[None] | None = None  # what the disk is at
+        self.batch_task: asyncio.Task[None] | None = None  # a batch on its way to the disk
+        self.disk_call: asyncio.Future[None] | None = None  # what the disk is at
 
     # start and stop
 
@@ -105,36 +107,39 @@
         loop = asyncio.get_running_loop()
         if self.leader is None:
             draft = Draft(self.store, self.now_us())
-            draft.start()
-            await self.commit_start(draft)
-            self.keep_all()
-            self.tasks = [loop.create_task(self.write_on()), loop.create_task(self.tick_on())]
+            draft.add_start_record()
+            await self.store_start_record(draft)
+            self.renew_all()
+            self.tasks = [
+                loop.create_task(self.process_writes()),
+                loop.create_task(self.check_leases_periodically()),
+            ]
         log.info(
             "%s, generation %d, %d instances", self.role(), self.store.generation, len(self.store.entries())
         )
 
-    async def commit_start(self, draft: Draft) -> None:
+    async def store_start_record(self, draft: Draft) -> None:
         """A disk that is full at the start leaves the list readable: the number counts though not stored."""
         try:
             await self.store_batch(draft.records)
-        except NotWritten as error:
+        except WriteFailed as error:
             log.error("the start is not in the log, and writes will fail: %s", error)
             self.store.apply(draft.records)
 
     def end_watches(self) -> None:
         """Each gets its answer now: what has changed, or nothing."""
         self.stopping.set()
-        if self.publisher is not None:
-            self.publisher.cancel()
+        if self.publish_timer is not None:
+            self.publish_timer.cancel()
         self.publish()
 
     async def stop(self) -> None:
         """Lets what is being written come to its end, and closes the log."""
-        while not self.writes.empty():
-            self.writes.get_nowait()[1].set_exception(Stopped())
+        while not self.write_queue.empty():
+            self.write_queue.get_nowait()[1].set_exception(ServiceStopping())
         for task in self.tasks:
             task.cancel()
-        ending = [t for t in (*self.tasks, self.writing, self.disk) if t is not None]
+        ending = [t for t in (*self.tasks, self.batch_task, self.disk_call) if t is not None]
         await asyncio.gather(*ending, return_exceptions=True)
         self.log.close()
 
@@ -150,23 +155,23 @@
         """NotReady while an answer would tell gateways that backends are gone of which nothing is known."""
         if self.leader is not None and self.store.generation == 0:
             raise NotReady("nothing was copied from the leader yet")
-        if self.leader is None and (self.told_from is None or self.clock() < self.told_from):
+        if self.leader is None and (self.readable_from is None or self.clock() < self.readable_from):
             raise NotReady("the list began anew and waits for instances to register")
 
-    def since(self, generation: int | None) -> bytes:
+    def encoded_answer(self, generation: int | None) -> bytes:
         """What a reader at this version has to know, encoded once for all that stand there."""
-        if self.encoded_at != self.store.generation:
-            self.encoded.clear()
-            self.encoded_at = self.store.generation
-        if generation not in self.encoded:
-            self.encoded[generation] = self.encode(generation)
+        if self.encoded_generation != self.store.generation:
+            self.encoded_answers.clear()
+            self.encoded_generation = self.store.generation
+        if generation not in self.encoded_answers:
+            self.encoded_answers[generation] = self.encode_answer(generation)
             self.figures["answers encoded"] += 1
-            if len(self.encoded) > CACHED:
-                self.encoded.popitem(last=False)
-        return self.encoded[generation]
+            if len(self.encoded_answers) > MAX_CACHED_ANSWERS:
+                self.encoded_answers.popitem(last=False)
+        return self.encoded_answers[generation]
 
-    def encode(self, generation: int | None) -> bytes:
-        changes = None if generation is None else self.store.changes(generation)
+    def encode_answer(self, generation: int | None) -> bytes:
+        changes = None if generation is None else self.store.changes_after(generation)
         whole = changes is None
         told = {
             "generation": self.store.generation,
@@ -175,118 +180,118 @@
         }
         return json.dumps(told, separators=(",", ":")).encode()
 
-    async def read(self, generation: int | None, wait: float) -> bytes:
+    async def read_list(self, generation: int | None, wait: float) -> bytes:
         self.check_ready()
         if generation is not None and self.leader is not None and generation > self.store.generation:
             raise NotReady(f"this copy is at {self.store.generation}, behind the reader")
         if generation is not None and wait > 0 and not self.store.has_news(generation):
             await self.watch(lambda: self.store.has_news(generation), wait)
             self.check_ready()
-        return self.since(generation)
+        return self.encoded_answer(generation)
 
     async def watch(self, done: Callable[[], bool], wait: float) -> None:
         """Waits until that is so, or so many seconds; one that leaves is cancelled here, its place free."""
         if self.stopping.is_set():
             return
-        if self.watchers >= self.options.watchers:
+        if self.watcher_count >= self.options.watchers:
             self.figures["watches refused"] += 1
             raise NotReady("no room for another watch")
-        self.watchers += 1
+        self.watcher_count += 1
         try:
             async with asyncio.timeout(wait):
                 while not (done() or self.stopping.is_set()):
-                    await self.news.wait()  # what it wakes for may be known here already
+                    await self.list_changed.wait()  # what it wakes for may be known here already
         except TimeoutError:
             pass
         finally:
-            self.watchers -= 1
+            self.watcher_count -= 1
 
-    def back_in(self) -> int:
+    def retry_after(self) -> int:
         """Seconds for a reader to wait who got nothing."""
-        return round(self.random.uniform(*BACK_IN))
+        return round(self.random.uniform(*RETRY_AFTER_RANGE))
 
     def publish(self) -> None:
-        self.publisher = None
-        news, self.news = self.news, asyncio.Event()
+        self.publish_timer = None
+        news, self.list_changed = self.list_changed, asyncio.Event()
         news.set()
 
-    def publish_soon(self) -> None:
-        if self.publisher is None:
-            self.publisher = asyncio.get_running_loop().call_later(GATHER, self.publish)
+    def schedule_publish(self) -> None:
+        if self.publish_timer is None:
+            self.publish_timer = asyncio.get_running_loop().call_later(PUBLISH_DELAY, self.publish)
 
     # writing
 
-    def check_leads(self) -> None:
+    def check_is_leader(self) -> None:
         if self.leader is not None:
-            raise Elsewhere(self.leader)
+            raise NotLeader(self.leader)
         if self.stopping.is_set():
-            raise Stopped()
+            raise ServiceStopping()
 
-    async def write(self, write: Write) -> Done:
+    async def write(self, write: Write) -> WriteResult:
         """Carries out one write, durable once this returns."""
-        self.check_leads()
-        done: asyncio.Future[Done] = asyncio.get_running_loop().create_future()
-        self.writes.put_nowait((write, done))
+        self.check_is_leader()
+        done: asyncio.Future[WriteResult] = asyncio.get_running_loop().create_future()
+        self.write_queue.put_nowait((write, done))
         return await done
 
-    async def write_on(self) -> None:
+    async def process_writes(self) -> None:
         while True:
-            batch = [await self.writes.get()]
-            while len(batch) < MOST_BATCH and not self.writes.empty():
-                batch.append(self.writes.get_nowait())
-            self.writing = asyncio.create_task(self.write_batch(batch))
-            await asyncio.shield(self.writing)
+            batch = [await self.write_queue.get()]
+            while len(batch) < MAX_BATCH_WRITES and not self.write_queue.empty():
+                batch.append(self.write_queue.get_nowait())
+            self.batch_task = asyncio.create_task(self.write_batch(batch))
+            await asyncio.shield(self.batch_task)
 
-    async def write_batch(self, batch: list[tuple[Write, asyncio.Future[Done]]]) -> None:
+    async def write_batch(self, batch: list[tuple[Write, asyncio.Future[WriteResult]]]) -> None:
         draft = Draft(self.store, self.now_us())
-        drafted: list[tuple[asyncio.Future[Done], Done]] = []
+        drafted: list[tuple[asyncio.Future[WriteResult], WriteResult]] = []
         for write, future in batch:
             try:
                 drafted.append((future, write(draft)))
-            except Refused as error:
-                settle(future, error)
+            except WriteRefused as error:
+                fail_write(future, error)
             except Exception as error:  # one call that goes wrong must not take the others with it
                 log.exception("a write went wrong")
-                settle(future, error)
+                fail_write(future, error)
         try:
             if draft.records:
                 await self.store_batch(draft.records)
-        except NotWritten as error:
+        except WriteFailed as error:
             self.figures["writes failed"] += len(drafted)
             log.error("%d writes failed: %s", len(drafted), error)
             for future, _ in drafted:
-                settle(future, error)
+                fail_write(future, error)
             return
         for future, done in drafted:
             if not future.done():
                 future.set_result(done)
         await self.compact_if_due()
 
-    async def on_disk(self, call: Callable[..., None], content: Any) -> None:
+    async def run_in_thread(self, call: Callable[..., None], content: Any) -> None:
         """In a thread, one call at a time; a thread can't be called off, so the end waits for it."""
-        self.disk = asyncio.get_running_loop().run_in_executor(None, call, content)
-        await asyncio.shield(self.disk)
+        self.disk_call = asyncio.get_running_loop().run_in_executor(None, call, content)
+        await asyncio.shield(self.disk_call)
 
     async def recover_log(self) -> None:
         """Where the log can't be appended to: tries new files, at most once in RECOVER_EVERY."""
-        if self.log.broken and self.clock() >= self.recover_at:
-            self.recover_at = self.clock() + RECOVER_EVERY
-            await self.on_disk(self.log.recover, self.store.to_json())
+        if self.log.failure and self.clock() >= self.next_recovery_at:
+            self.next_recovery_at = self.clock() + RECOVERY_INTERVAL
+            await self.run_in_thread(self.log.recover, self.store.to_json())
 
     async def store_batch(self, records: list[Record]) -> None:
         await self.recover_log()
-        await self.on_disk(self.log.append, records)
+        await self.run_in_thread(self.log.append, records)
         self.store.apply(records)
         for record in records:
-            self.lease_record(record)
-        self.publish_soon()
+            self.update_lease(record)
+        self.schedule_publish()
 
     async def compact_if_due(self) -> None:
-        if self.log.due():
+        if self.log.needs_compaction():
             content = self.store.to_json()
             try:
-                await self.on_disk(self.log.compact, content)
-            except NotWritten as error:
+                await self.run_in_thread(self.log.compact, content)
+            except WriteFailed as error:
                 log.error("no snapshot was made: %s", error)
 
     # a follower's copying
@@ -296,106 +301,108 @@
         self.check_ready()
         if generation == self.store.generation:
             await self.watch(lambda: self.store.generation != generation, wait)
-        records = self.store.since(generation)
+        records = self.store.records_after(generation)
         told: dict[str, Any] = {"generation": self.store.generation, "reset": records is None}
         if records is None:
             return {**told, "list": self.store.to_json()}
         return {**told, "records": [record_to_json(r) for r in records]}
 
-    async def copy(self, records: list[Record]) -> None:
+    async def replicate(self, records: list[Record]) -> None:
         """Takes over what the leader did; its numbers can only go up."""
         if records:
             await self.store_batch(records)
             await self.compact_if_due()
 
-    async def copy_all(self, content: dict[str, Any]) -> None:
+    async def replace_list(self, content: dict[str, Any]) -> None:
         """Takes over another history, where the leader's does not hold this copy's version."""
         store = Store.from_json(content)
         if store.generation <= self.store.generation:
-            raise BadForm(
+            raise InvalidFormat(
                 f"the leader's list, at {store.generation}, is older than this copy, at "
                 f"{self.store.generation}: it was restored, or another leads"
             )
-        await self.on_disk(self.log.compact, content)
+        await self.run_in_thread(self.log.compact, content)
         self.store = self.log.store = store
-        self.publish_soon()
+        self.schedule_publish()
 
     # leases
 
-    def lease_record(self, record: Record) -> None:
+    def update_lease(self, record: Record) -> None:
         if self.leader is not None:
             return
         if record.entry is None:
             self.leases.drop(record.id)
             return
-        if self.told_from is None:
-            self.told_from = self.clock() + self.options.fill
-        self.renewed(record.id, record.entry.lease_ms)
+        if self.readable_from is None:
+            self.readable_from = self.clock() + self.options.fill
+        self.extend_lease(record.id, record.entry.lease_ms)
 
-    def renewed(self, id: str, lease_ms: int) -> None:
-        self.leases.keep(id, lease_ms / 1000.0, self.clock())
+    def extend_lease(self, id: str, lease_ms: int) -> None:
+        self.leases.renew(id, lease_ms / 1000.0, self.clock())
 
-    def renew(self, id: str, process: str) -> Done:
+    def renew(self, id: str, process: str) -> WriteResult:
         """Nothing of it is durable, so it neither waits for the disk nor fails with it."""
-        self.check_leads()
+        self.check_is_leader()
         done = Draft(self.store, self.now_us()).renew(id, process)
         if done.state is not None and done.state.entry is not None:
-            self.renewed(id, done.state.entry.lease_ms)
+            self.extend_lease(id, done.state.entry.lease_ms)
         self.figures["renewals"] += 1
         return done
 
-    def keep_all(self) -> None:
+    def renew_all(self) -> None:
         for id, state in self.store.states.items():
             if state.entry is not None:
-                self.renewed(id, state.entry.lease_ms)
-        self.leases.ticked = self.clock()
+                self.extend_lease(id, state.entry.lease_ms)
+        self.leases.last_tick_at = self.clock()
 
-    async def tick_on(self) -> None:
+    async def check_leases_periodically(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
-            await self.tick()
+            await asyncio.sleep(LEASE_CHECK_INTERVAL)
+            await self.check_leases()
 
-    async def tick(self) -> None:
+    async def check_leases(self) -> None:
         """Removes those whose leases ran out, or holds that where too many did."""
-        held, given_back = self.leases.held, self.leases.given_back
-        out = self.leases.tick(self.clock(), TICK)
-        if self.leases.given_back > given_back:
-            log.warning("the service paused: all leases got %.1f s back", self.leases.given_back - given_back)
-        if self.leases.held and not held:
-            many = len(self.leases.run_out(self.clock()))
+        held, given_back = self.leases.removal_held, self.leases.compensated_delay
+        out = self.leases.tick(self.clock(), LEASE_CHECK_INTERVAL)
+        if self.leases.compensated_delay > given_back:
+            log.warning(
+                "the service paused: all leases got %.1f s back", self.leases.compensated_delay - given_back
+            )
+        if self.leases.removal_held and not held:
+            many = len(self.leases.expired(self.clock()))
             log.error(
                 "%d of %d leases ran out together: removal is held until they renew or it is resumed",
                 many,
-                len(self.leases.ends),
+                len(self.leases.expires_at),
             )
-        elif held and not self.leases.held:
+        elif held and not self.leases.removal_held:
             log.info("removal is no longer held: all leases are renewed")
         if out:
-            await self.expire(out)
+            await self.remove_expired(out)
 
-    async def expire(self, ids: list[str]) -> None:
+    async def remove_expired(self, ids: list[str]) -> None:
         """Removes them, but for those that renewed while this waited in turn."""
         gone: list[str] = []
 
-        def write(draft: Draft) -> Done:
-            gone.extend(id for id in self.leases.run_out(self.clock()) if id in ids)
+        def write(draft: Draft) -> WriteResult:
+            gone.extend(id for id in self.leases.expired(self.clock()) if id in ids)
             for id in gone:
                 draft.expire(id)
-            return Done(None, bool(gone))
+            return WriteResult(None, bool(gone))
 
         try:
             await self.write(write)
-        except (NotWritten, Stopped):
+        except (WriteFailed, ServiceStopping):
             return  # they are looked at again with the next tick
         self.figures["leases run out"] += len(gone)
         log.warning("%d leases ran out: %s", len(gone), " ".join(gone[:20]))
 
-    async def resume(self) -> list[str]:
-        self.check_leads()
+    async def resume_removal(self) -> list[str]:
+        self.check_is_leader()
         out = self.leases.resume(self.clock())
         if out:
             log.warning("an operator resumed removal: %d instances", len(out))
-            await self.expire(out)
+            await self.remove_expired(out)
         return out
 
     # what is told of the service itself
@@ -404,11 +411,11 @@
         """Seconds since a follower last knew that it had all the leader has."""
         if self.leader is None:
             return 0.0
-        return None if self.contact is None else round(self.clock() - self.contact, 3)
+        return None if self.last_contact_at is None else round(self.clock() - self.last_contact_at, 3)
 
     def status(self) -> dict[str, Any]:
         entries = self.store.entries()
-        out = self.leases.run_out(self.clock()) if self.leader is None else []
+        out = self.leases.expired(self.clock()) if self.leader is None else []
         try:
             self.check_ready()
             ready, why = not self.stopping.is_set(), "stopping" if self.stopping.is_set() else ""
@@ -422,26 +429,30 @@
             "generation": self.store.generation,
             "instances": len(entries),
             "draining": sum(e["lifecycle"] != "SERVING" for e in entries),
-            "watchers": self.watchers,
+            "watchers": self.watcher_count,
             "lag_s": self.lag(),
-            "leases": {"kept": len(self.leases.ends), "run_out": out, "removal_held": self.leases.held},
+            "leases": {
+                "kept": len(self.leases.expires_at),
+                "run_out": out,
+                "removal_held": self.leases.removal_held,
+            },
             "log_bytes": self.log.size,
-            "writes_fail": self.log.broken,
-            "cut_bytes": self.log.cut,
-            "uptime_s": round(self.clock() - self.began, 1),
+            "writes_fail": self.log.failure,
+            "cut_bytes": self.log.truncated_bytes,
+            "uptime_s": round(self.clock() - self.started_at, 1),
             "figures": dict(sorted(self.figures.items())),
         }
 
 
-def settle(future: asyncio.Future[Done], error: Exception) -> None:
+def fail_write(future: asyncio.Future[WriteResult], error: Exception) -> None:
     if not future.done():
         future.set_exception(error)
 
 
 def check_role(options: Options) -> str | None:
     """The leader's address, or None for a leader; ValueError where a copy would become one by mistake."""
-    if options.follow is None and not options.promote and (options.data / FOLLOWER).exists():
-        leader = (options.data / FOLLOWER).read_text().strip()
+    if options.follow is None and not options.promote and (options.data / FOLLOWER_MARK).exists():
+        leader = (options.data / FOLLOWER_MARK).read_text().strip()
         raise ValueError(
             f"{options.data} is a copy of {leader}'s list: start with --follow, or with --promote"
         )
@@ -449,7 +460,7 @@
 
 
 def mark_role(options: Options) -> None:
-    mark = options.data / FOLLOWER
+    mark = options.data / FOLLOWER_MARK
     if options.follow is not None:
         mark.write_text(options.follow + "\n")
     else:
--- a/embersill/directory/store.py
+++ b/embersill/directory/store.py
@@ -8,33 +8,33 @@
 from typing import Any
 
 from embersill.directory.form import (
-    BadForm,
     Drain,
     Entry,
+    InvalidFormat,
     Record,
     Registration,
+    entry_to_json,
     record_from_json,
     record_to_json,
-    told,
 )
 
-HISTORY = 4096  # changes kept: some replacements of 200 instances, and well under a MB
-MOST_FORMER = 8  # replaced processes remembered of one id: a crash loop must not fill the record
+HISTORY_RECORDS = 4096  # changes kept: some replacements of 200 instances, and well under a MB
+MAX_FORMER_PROCESSES = 8  # replaced processes remembered of one id: a crash loop must not fill the record
 
 
-class Refused(Exception):
+class WriteRefused(Exception):
     """A write that changes nothing."""
 
 
-class Unknown(Refused):
+class UnknownInstance(WriteRefused):
     """There is no such id."""
 
 
-class Conflict(Refused):
+class Conflict(WriteRefused):
     """The write rests on a version that is no longer the id's, or comes from a process that lost it."""
 
 
-class Unconditional(Refused):
+class ConditionMissing(WriteRefused):
     """The write does not say which version it rests on."""
 
 
@@ -43,12 +43,14 @@
     """What a write rests on: the id's version, or that there is no such instance."""
 
     version: int | None = None
-    absent: bool = False
-    list: int | None = None  # the version of the whole list that the write was decided on, if it matters
+    must_be_absent: bool = False
+    list_version: int | None = (
+        None  # the version of the whole list that the write was decided on, if it matters
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class InstanceState:
     """What is held of one id; without an entry only staff's drain is left of it."""
 
     version: int
@@ -57,10 +59,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class WriteResult:
     """A write's outcome: the id's state after it, and whether it changed anything."""
 
-    state: State | None
+    state: InstanceState | None
     changed: bool
     created: bool = False
 
@@ -68,60 +70,64 @@
 class Store:
     """What is durable, as replayed from the log; changed by records alone, in the order of their numbers."""
 
-    def __init__(self, history: int = HISTORY) -> None:
-        self.most = history
+    def __init__(self, history: int = HISTORY_RECORDS) -> None:
+        self.max_history = history
         self.generation = 0
-        self.states: dict[str, State] = {}
+        self.states: dict[str, InstanceState] = {}
         self.history: list[Record] = []
-        self.floor: int | None = None  # the generation before the history's first; None: nothing came before
-        self.silent: set[int] = set()  # generations in the history that changed nothing for readers
-        self.shown = 0  # the last that did
+        self.history_start: int | None = (
+            None  # the generation before the history's first; None: nothing came before
+        )
+        self.invisible_generations: set[int] = (
+            set()
+        )  # generations in the history that changed nothing for readers
+        self.last_visible_generation = 0  # the last that did
 
     def apply(self, records: Iterable[Record]) -> None:
         for record in records:
             if record.generation <= self.generation:
-                raise BadForm(f"generation {record.generation} comes after {self.generation}")
+                raise InvalidFormat(f"generation {record.generation} comes after {self.generation}")
             self.generation = record.generation
             self.history.append(record)
             before = self.states.get(record.id)
             if record.entry is None and (before is None or before.entry is None):
-                self.silent.add(record.generation)
+                self.invisible_generations.add(record.generation)
             else:
-                self.shown = record.generation
+                self.last_visible_generation = record.generation
             if record.entry is not None or record.drain is not None:
-                self.states[record.id] = State(record.generation, record.entry, record.drain)
+                self.states[record.id] = InstanceState(record.generation, record.entry, record.drain)
             else:
                 self.states.pop(record.id, None)
-        if len(self.history) > 2 * self.most:  # in halves, so that each record is moved once at most
-            self.floor = self.history[-self.most - 1].generation
-            self.history = self.history[-self.most :]
-            self.silent = {g for g in self.silent if g > self.floor}
+        if len(self.history) > 2 * self.max_history:  # in halves, so that each record is moved once at most
+            self.history_start = self.history[-self.max_history - 1].generation
+            self.history = self.history[-self.max_history :]
+            self.invisible_generations = {g for g in self.invisible_generations if g > self.history_start}
 
     # what readers are told
 
     def entries(self) -> list[dict[str, Any]]:
-        return [told(id, s.entry, s.drain) for id, s in self.states.items() if s.entry is not None]
+        return [entry_to_json(id, s.entry, s.drain) for id, s in self.states.items() if s.entry is not None]
 
-    def since(self, generation: int) -> list[Record] | None:
+    def records_after(self, generation: int) -> list[Record] | None:
         """The records after that one; None where this history does not hold it."""
-        if generation == self.floor:
+        if generation == self.history_start:
             return list(self.history)
         place = bisect_left(self.history, generation, key=record_generation)
         if place == len(self.history) or self.history[place].generation != generation:
             return None
         return self.history[place + 1 :]
 
-    def changes(self, generation: int) -> list[dict[str, Any]] | None:
+    def changes_after(self, generation: int) -> list[dict[str, Any]] | None:
         """What has become of each id that changed after that version; None: the whole list is needed."""
-        records = self.since(generation)
+        records = self.records_after(generation)
         if records is None:
             return None
-        last = {r.id: r for r in records if r.generation not in self.silent}
-        return [told(r.id, r.entry, r.drain) for r in last.values()]
+        last = {r.id: r for r in records if r.generation not in self.invisible_generations}
+        return [entry_to_json(r.id, r.entry, r.drain) for r in last.values()]
 
     def has_news(self, generation: int) -> bool:
         """Whether a reader at this version has anything to be told."""
-        return self.shown > generation or self.since(generation) is None
+        return self.last_visible_generation > generation or self.records_after(generation) is None
 
     def was_known(self, id: str) -> bool:
         return id in self.states or any(r.id == id for r in self.history)
@@ -132,24 +138,27 @@
         states = [Record(s.version, id, s.entry, s.drain) for id, s in self.states.items()]
         return {
             "generation": self.generation,
-            "floor": self.floor,
-            "shown": self.shown,
-            "silent": sorted(self.silent),
+            "floor": self.history_start,
+            "shown": self.last_visible_generation,
+            "silent": sorted(self.invisible_generations),
             "history": [record_to_json(r) for r in self.history],
             "states": [record_to_json(r) for r in states],
         }
 
     @classmethod
-    def from_json(cls, loaded: Any, history: int = HISTORY) -> Store:
+    def from_json(cls, loaded: Any, history: int = HISTORY_RECORDS) -> Store:
         store = cls(history)
         try:
-            store.generation, store.floor = int(loaded["generation"]), loaded["floor"]
-            store.shown, store.silent = int(loaded["shown"]), set(loaded["silent"])
+            store.generation, store.history_start = int(loaded["generation"]), loaded["floor"]
+            store.last_visible_generation, store.invisible_generations = (
+                int(loaded["shown"]),
+                set(loaded["silent"]),
+            )
             store.history = [record_from_json(r) for r in loaded["history"]]
             records = [record_from_json(r) for r in loaded["states"]]
         except (KeyError, TypeError, ValueError) as error:
-            raise BadForm(f"no list: {error!r}") from error
-        store.states = {r.id: State(r.generation, r.entry, r.drain) for r in records}
+            raise InvalidFormat(f"no list: {error!r}") from error
+        store.states = {r.id: InstanceState(r.generation, r.entry, r.drain) for r in records}
         return store
 
 
@@ -163,122 +172,122 @@
     def __init__(self, store: Store, now_us: int) -> None:
         self.store, self.now_us = store, now_us
         self.records: list[Record] = []
-        self.changed: dict[str, State | None] = {}
+        self.changed: dict[str, InstanceState | None] = {}
 
-    def state(self, id: str) -> State | None:
+    def current_state(self, id: str) -> InstanceState | None:
         return self.changed[id] if id in self.changed else self.store.states.get(id)
 
-    def latest(self) -> int:
+    def last_generation(self) -> int:
         return self.records[-1].generation if self.records else self.store.generation
 
-    def put(self, id: str, entry: Entry | None, drain: Drain | None) -> State | None:
+    def add_record(self, id: str, entry: Entry | None, drain: Drain | None) -> InstanceState | None:
         """One more record: its number is the time, or one more than the last where the clock is behind."""
-        record = Record(max(self.latest() + 1, self.now_us), id, entry, drain)
+        record = Record(max(self.last_generation() + 1, self.now_us), id, entry, drain)
         self.records.append(record)
-        state = State(record.generation, entry, drain) if entry or drain else None
+        state = InstanceState(record.generation, entry, drain) if entry or drain else None
         self.changed[id] = state
         return state
 
-    def start(self) -> None:
+    def add_start_record(self) -> None:
         """A leader begins: from here on its numbers are no other history's."""
-        self.put("", None, None)
+        self.add_record("", None, None)
 
     # the writes
 
-    def register(self, id: str, told: Registration, condition: Condition) -> Done:
-        state = self.state(id)
+    def register(self, id: str, told: Registration, condition: Condition) -> WriteResult:
+        state = self.current_state(id)
         held = state.entry if state else None
         entry = told.entry
         if held is not None and held.process == entry.process:
-            started = entry.started_ms if told.started_told else held.started_ms
-            entry = replace(entry, started_ms=started, former=held.former)
+            started = entry.started_ms if told.start_time_given else held.started_ms
+            entry = replace(entry, started_ms=started, former_processes=held.former_processes)
             if entry == held:
-                return Done(state, False)
+                return WriteResult(state, False)
         elif held is not None:
-            entry = self.successor(held, told)
-        require(condition, state, held)
+            entry = self.replacing_entry(held, told)
+        check_condition(condition, state, held)
         drain = state.drain if state else None
-        return Done(self.put(id, entry, drain), True, held is None)
+        return WriteResult(self.add_record(id, entry, drain), True, held is None)
 
-    def successor(self, held: Entry, told: Registration) -> Entry:
+    def replacing_entry(self, held: Entry, told: Registration) -> Entry:
         """The entry of a process that takes another's place: it started later, whatever the clock says."""
         entry = told.entry
-        if entry.process in held.former:
+        if entry.process in held.former_processes:
             raise Conflict(f"process {entry.process} was replaced by {held.process}")
-        if told.started_told and entry.started_ms <= held.started_ms:
+        if told.start_time_given and entry.started_ms <= held.started_ms:
             raise Conflict(f"process {held.process} holds this id and started later or as late")
-        former = (held.process, *held.former)[:MOST_FORMER]
-        return replace(entry, started_ms=max(entry.started_ms, held.started_ms + 1), former=former)
+        former = (held.process, *held.former_processes)[:MAX_FORMER_PROCESSES]
+        return replace(entry, started_ms=max(entry.started_ms, held.started_ms + 1), former_processes=former)
 
-    def held_by(self, id: str, process: str) -> tuple[State, Entry]:
-        state = self.state(id)
+    def require_holder(self, id: str, process: str) -> tuple[InstanceState, Entry]:
+        state = self.current_state(id)
         if state is None or state.entry is None:
-            raise Unknown(f"{id} is not registered")
+            raise UnknownInstance(f"{id} is not registered")
         if state.entry.process != process:
             raise Conflict(f"{id} is held by process {state.entry.process}")
         return state, state.entry
 
-    def renew(self, id: str, process: str) -> Done:
-        return Done(self.held_by(id, process)[0], False)
+    def renew(self, id: str, process: str) -> WriteResult:
+        return WriteResult(self.require_holder(id, process)[0], False)
 
-    def set_lifecycle(self, id: str, process: str, lifecycle: str, condition: Condition) -> Done:
-        state, entry = self.held_by(id, process)
+    def set_lifecycle(self, id: str, process: str, lifecycle: str, condition: Condition) -> WriteResult:
+        state, entry = self.require_holder(id, process)
         if entry.lifecycle == lifecycle:
-            return Done(state, False)
-        require(condition, state, entry)
-        return Done(self.put(id, replace(entry, lifecycle=lifecycle), state.drain), True)
+            return WriteResult(state, False)
+        check_condition(condition, state, entry)
+        return WriteResult(self.add_record(id, replace(entry, lifecycle=lifecycle), state.drain), True)
 
-    def drain(self, id: str, by: str, reason: str, condition: Condition) -> Done:
+    def drain(self, id: str, by: str, reason: str, condition: Condition) -> WriteResult:
         """Staff's drain; with If-None-Match also of an id that is not there yet, as of a machine to come."""
-        state = self.state(id)
-        if state is None and not condition.absent:
-            raise Unknown(f"{id} is not registered")
+        state = self.current_state(id)
+        if state is None and not condition.must_be_absent:
+            raise UnknownInstance(f"{id} is not registered")
         if (
             state is not None
             and state.drain is not None
             and (state.drain.by, state.drain.reason) == (by, reason)
         ):
-            return Done(state, False)
-        if condition.list is not None and condition.list != self.latest():
-            raise Conflict(f"the list is at {self.latest()}")
-        require(condition, state, state)
+            return WriteResult(state, False)
+        if condition.list_version is not None and condition.list_version != self.last_generation():
+            raise Conflict(f"the list is at {self.last_generation()}")
+        check_condition(condition, state, state)
         entry = state.entry if state else None
-        return Done(self.put(id, entry, Drain(by, reason, self.now_us // 1000)), True)
+        return WriteResult(self.add_record(id, entry, Drain(by, reason, self.now_us // 1000)), True)
 
-    def known(self, id: str) -> State | None:
+    def require_known(self, id: str) -> InstanceState | None:
         """What there is of an id; of one that is gone nothing, as long as the history tells of it."""
-        state = self.state(id)
+        state = self.current_state(id)
         if state is None and not self.store.was_known(id):
-            raise Unknown(f"{id} was never registered")
+            raise UnknownInstance(f"{id} was never registered")
         return state
 
-    def lift(self, id: str, condition: Condition) -> Done:
-        state = self.known(id)
+    def lift_drain(self, id: str, condition: Condition) -> WriteResult:
+        state = self.require_known(id)
         if state is None or state.drain is None:
-            return Done(state, False)
-        require(condition, state, state)
-        return Done(self.put(id, state.entry, None), True)
+            return WriteResult(state, False)
+        check_condition(condition, state, state)
+        return WriteResult(self.add_record(id, state.entry, None), True)
 
-    def remove(self, id: str, condition: Condition) -> Done:
-        state = self.known(id)
+    def remove(self, id: str, condition: Condition) -> WriteResult:
+        state = self.require_known(id)
         if state is None or state.entry is None:
-            return Done(state, False)
-        require(condition, state, state)
-        return Done(self.put(id, None, state.drain), True)
+            return WriteResult(state, False)
+        check_condition(condition, state, state)
+        return WriteResult(self.add_record(id, None, state.drain), True)
 
-    def expire(self, id: str) -> Done:
-        state = self.state(id)
+    def expire(self, id: str) -> WriteResult:
+        state = self.current_state(id)
         if state is None or state.entry is None:
-            return Done(state, False)
-        return Done(self.put(id, None, state.drain), True)
+            return WriteResult(state, False)
+        return WriteResult(self.add_record(id, None, state.drain), True)
 
 
-def require(condition: Condition, state: State | None, held: object | None) -> None:
+def check_condition(condition: Condition, state: InstanceState | None, held: object | None) -> None:
     """Conflict unless the write rests on the id as it is."""
-    if condition.absent:
+    if condition.must_be_absent:
         if held is not None:
             raise Conflict("this id is registered")
     elif condition.version is None:
-        raise Unconditional("a write needs If-Match with the id's version, or If-None-Match: *")
+        raise ConditionMissing("a write needs If-Match with the id's version, or If-None-Match: *")
     elif state is None or state.version != condition.version:
         raise Conflict(f"the version is {state.version if state else 'none'}")
--- a/tests/lists.py
+++ b/tests/lists.py
@@ -31,7 +31,7 @@
     asyncio.run(bounded())
 
 
-class Caller:
+class ListClient:
     """Calls one list service."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
@@ -87,7 +87,7 @@
         assert status == 200, told
         return told
 
-    async def until(self, done: Callable[[Any], bool]) -> Any:
+    async def wait_for_status(self, done: Callable[[Any], bool]) -> Any:
         """The status, once it is as wanted."""
         async with asyncio.timeout(SOON):
             while True:
@@ -97,22 +97,22 @@
                 await asyncio.sleep(0.01)
 
 
-def caller(address: str) -> aiohttp.ClientSession:
+def client_session(address: str) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0), timeout=aiohttp.ClientTimeout(total=3 * SOON)
     )
 
 
 @asynccontextmanager
-async def served(folder: pathlib.Path, **options: Any) -> AsyncIterator[tuple[Program, Caller]]:
+async def served(folder: pathlib.Path, **options: Any) -> AsyncIterator[tuple[Program, ListClient]]:
     """The service in this loop; a list begun anew is told at once unless the test asks otherwise."""
     program = Program((HOST, 0), Options(folder, **{"fill": 0.0, **options}))
     try:
         await program.start()
         assert program.server is not None
         address = f"{HOST}:{program.server.sockets[0].getsockname()[1]}"
-        async with caller(address) as session:
-            yield program, Caller(session, address)
+        async with client_session(address) as session:
+            yield program, ListClient(session, address)
     finally:
         await program.stop()
 
@@ -141,14 +141,14 @@
             stderr=asyncio.subprocess.PIPE,
             env={k: v for k, v in os.environ.items() if not k.startswith("RELAY_")},
         )
-        line = await self.said(r"listening on (\S+):(\d+)")
+        line = await self.wait_for_log(r"listening on (\S+):(\d+)")
         self.port = int(line[2])
 
     @property
     def address(self) -> str:
         return f"{HOST}:{self.port}"
 
-    async def said(self, form: str) -> re.Match[str]:
+    async def wait_for_log(self, form: str) -> re.Match[str]:
         """The next line of the log that has this in it."""
         assert self.child.stderr is not None
         async with asyncio.timeout(SOON):
@@ -172,11 +172,11 @@
 @asynccontextmanager
 async def process(
     folder: pathlib.Path, *options: str, port: int = 0
-) -> AsyncIterator[tuple[Process, Caller]]:
+) -> AsyncIterator[tuple[Process, ListClient]]:
     made = Process(folder, *options, port=port)
     try:
         await made.start()
-        async with caller(made.address) as session:
-            yield made, Caller(session, made.address)
+        async with client_session(made.address) as session:
+            yield made, ListClient(session, made.address)
     finally:
         await made.kill()
--- a/tests/measure_drain.py
+++ b/tests/measure_drain.py
@@ -189,7 +189,7 @@
             place = play % len(fleet.gateways)
             gateway = fleet.gateways[place]
             draining = asyncio.create_task(drain(fleet, "gateway", f"n{place}"))
-            while "lame duck" not in await gateway.ask("PHASE"):
+            while "lame duck" not in await gateway.send_command("PHASE"):
                 await asyncio.sleep(0.01)
             assert await gateway.upgrade() == 0
             took.append(await draining)
--- a/tests/measure_list.py
+++ b/tests/measure_list.py
@@ -20,39 +20,44 @@
 from embersill.net import discovery as client
 from embersill.net.discovery import Discovery
 from embersill.net.listing import Listing, read_address
-from tests.lists import Caller, Process, process
+from tests.lists import ListClient, Process, process
 
 Call = Callable[[], Coroutine[Any, Any, Listing]]
-MANY = 200  # gateways, and backends
+FLEET_SIZE = 200  # gateways, and backends
 WRITES = 40
-PLAYS = 3
+REPETITIONS = 3
 
 
 class Watchers:
     """As many gateways' clients as the fleet has, in this process."""
 
-    def __init__(self, addresses: list[str], many: int = MANY) -> None:
+    def __init__(self, addresses: list[str], many: int = FLEET_SIZE) -> None:
         self.generations = [0] * many
         self.changed = asyncio.Condition()
         self.called: list[float] = []
         seeds = random.Random()  # another for each play, as for each start of a gateway
         self.clients = [
             Discovery(
-                [read_address(a) for a in addresses], 5.0, self.told(n), None, seeds.getrandbits(32), many
+                [read_address(a) for a in addresses],
+                5.0,
+                self.record_generation(n),
+                None,
+                seeds.getrandbits(32),
+                many,
             )
             for n in range(many)
         ]
         for made in self.clients:
-            made.call = self.timed(made.call)  # type: ignore[method-assign]
+            made.call = self.record_call_time(made.call)  # type: ignore[method-assign]
         self.tasks = [asyncio.create_task(made.run()) for made in self.clients]
 
-    def told(self, number: int) -> Callable[[Listing], None]:
+    def record_generation(self, number: int) -> Callable[[Listing], None]:
         def tell(listing: Listing) -> None:
             self.generations[number] = listing.generation
 
         return tell
 
-    def timed(self, call: Call) -> Call:
+    def record_call_time(self, call: Call) -> Call:
         async def made() -> Listing:
             self.called.append(time.monotonic())
             return await call()
@@ -69,7 +74,7 @@
             made.drop()
 
 
-async def fill(calls: Caller, many: int = MANY) -> None:
+async def fill(calls: ListClient, many: int = FLEET_SIZE) -> None:
     for number in range(many):
         await calls.register(
             f"s-{number:08x}",
@@ -80,7 +85,7 @@
         )
 
 
-async def news(folder: pathlib.Path) -> str:
+async def change_delivery(folder: pathlib.Path) -> str:
     """From a write's answer to the last watcher told."""
     async with process(folder) as (made, calls):
         await fill(calls)
@@ -88,7 +93,7 @@
         await watchers.until((await calls.list())["generation"])
         took = []
         for number in range(WRITES):
-            await calls.until(lambda s: s["watchers"] == MANY)
+            await calls.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
             generation = await calls.drain(f"s-{number:08x}")
             answered = time.monotonic()
             await watchers.until(generation)
@@ -105,14 +110,14 @@
         await fill(calls)
         watchers = Watchers([made.address])
         await watchers.until((await calls.list())["generation"])
-        await calls.until(lambda s: s["watchers"] == MANY)
-        before = (await calls.until(lambda s: True))["figures"]
-        for first in range(0, MANY, 10):
+        await calls.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        before = (await calls.wait_for_status(lambda s: True))["figures"]
+        for first in range(0, FLEET_SIZE, 10):
             await asyncio.gather(*(replace(calls, n) for n in range(first, first + 10)))
             await asyncio.sleep(0.1)
         await watchers.until((await calls.list())["generation"])
-        await calls.until(lambda s: s["watchers"] == MANY)
-        after = (await calls.until(lambda s: True))["figures"]
+        await calls.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        after = (await calls.wait_for_status(lambda s: True))["figures"]
         size = len(str(await calls.list()))
         watchers.end()
     asked = after["watches"] - before["watches"]
@@ -123,7 +128,7 @@
     )
 
 
-async def replace(calls: Caller, number: int) -> None:
+async def replace(calls: ListClient, number: int) -> None:
     """The old one says that it drains and leaves, and a new one comes."""
     old = f"s-{number:08x}"
     _, shown, _ = await calls.call("GET", f"/v1/instances/{old}")
@@ -134,7 +139,7 @@
         match=shown["version"],
     )
     await calls.register(
-        f"s-{number + MANY:08x}",
+        f"s-{number + FLEET_SIZE:08x}",
         f"10.2.0.{number % 250}:5000",
         zone="room-a",
         machineType="standard-3core",
@@ -147,7 +152,7 @@
     """From the start of the process until it listens, with a log of 20,000 batches."""
     log = Log(folder, compact_at=2**40)
     for number in range(20_000):
-        id = f"s-{number % MANY:08x}"
+        id = f"s-{number % FLEET_SIZE:08x}"
         entry = Entry(
             "10.1.0.18:5000", "room-a", "standard-3core", 0, "SERVING", 1.0, number, f"p{number}", 600_000
         )
@@ -157,7 +162,7 @@
     size = log.size
     log.close()
     took = []
-    for _ in range(PLAYS):
+    for _ in range(REPETITIONS):
         began = time.monotonic()
         made = Process(folder)
         await made.start()
@@ -209,11 +214,11 @@
         watchers = Watchers([leader.address, follower.address])
         generation = (await calls.list())["generation"]
         await watchers.until(generation)
-        await copy.until(lambda s: s["generation"] == generation)
+        await copy.wait_for_status(lambda s: s["generation"] == generation)
         watchers.called.clear()
         gone = time.monotonic()
         await leader.kill(signal.SIGKILL)
-        await copy.until(lambda s: s["watchers"] == MANY)
+        await copy.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
         took = time.monotonic() - gone
         watchers.end()
     most = max(sum(t <= other < t + 0.1 for other in watchers.called) for t in watchers.called)
@@ -222,7 +227,7 @@
 
 async def main() -> None:
     measures: list[Callable[[pathlib.Path], Any]] = [
-        news,
+        change_delivery,
         replacement,
         recovery,
         lambda f: joint_return(f, 0.5),
@@ -230,7 +235,7 @@
         fail_over,
     ]
     for measure in measures:
-        for _ in range(1 if measure is recovery else PLAYS):
+        for _ in range(1 if measure is recovery else REPETITIONS):
             with tempfile.TemporaryDirectory() as folder:
                 print(await measure(pathlib.Path(folder) / "data"), flush=True)
 
--- a/tests/test_aggregator_server.py
+++ b/tests/test_aggregator_server.py
@@ -439,13 +439,13 @@
                 "--id", "agg-1", "--zone", "z1", "--advertise", f"{HOST}:7", "--drain-notice-ms", "500",
             )
             await program.start()
-            await directory.until(lambda status: status["instances"] == 1)
+            await directory.wait_for_status(lambda status: status["instances"] == 1)
             listed = (await directory.list())["instances"][0]
             assert (listed["instanceId"], listed["hostPort"]) == ("agg-1", f"{HOST}:7")
             assert (listed["zone"], listed["machineType"]) == ("z1", "aggregator")
             assert listed["lifecycle"] == "SERVING"
             ending = asyncio.create_task(program.end(signal.SIGTERM))
-            await directory.until(lambda status: status["draining"] == 1)
+            await directory.wait_for_status(lambda status: status["draining"] == 1)
             async with caller(program.port) as one:
                 await until_ready(one)
                 assert isinstance(await one.add("a.1", 1.0), float)  # calls are taken until gateways know
@@ -469,10 +469,10 @@
             options = membership.MembershipOptions(directory.address, "agg-1", f"{HOST}:7")
             made = membership.Membership(options)
             await made.start()
-            await directory.until(lambda status: status["instances"] == 1)
+            await directory.wait_for_status(lambda status: status["instances"] == 1)
             _, shown, _ = await directory.call("GET", "/v1/instances/agg-1")
             await directory.call("DELETE", "/v1/instances/agg-1", match=shown["version"])
-            await directory.until(lambda status: status["instances"] == 1)
+            await directory.wait_for_status(lambda status: status["instances"] == 1)
             other = membership.Membership(options)  # a later process takes the id over
             await other.start()
             assert made.task is not None
--- a/tests/test_directory_gateways.py
+++ b/tests/test_directory_gateways.py
@@ -12,7 +12,7 @@
 
 from embersill.lab.peers import HOST, free_port
 from tests.bed import READY, Bed, Client, request, roomy_settings
-from tests.lists import Caller, Process, caller, process, run
+from tests.lists import ListClient, Process, client_session, process, run
 from tests.peers import SOON, BackendPeer, CounterPeer
 from tests.test_program import ROOT, RUN, until_ready
 
@@ -26,8 +26,8 @@
         self, folder: pathlib.Path, number: int, discovery: list[str], counter: str, **more: Any
     ) -> None:
         self.bed = Bed(0)
-        self.bed.port, self.home = free_port(), free_port()
-        self.console = self.home
+        self.bed.port, self.own_console_port = free_port(), free_port()
+        self.console = self.own_console_port
         self.path, self.folder = folder / f"n{number}.json", folder / f"n{number}"
         self.folder.mkdir(exist_ok=True)
         self.path.write_text(
@@ -48,7 +48,7 @@
 
     async def start(self, console: int = 0) -> None:
         """With the console of the configuration, or another."""
-        self.console = console or self.home
+        self.console = console or self.own_console_port
         environ = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_") and k != "TMPDIR"}
         own = {"RELAY_CONFIG": str(self.path), "RELAY_CONSOLE": f"{HOST}:{self.console}"}
         self.child = await asyncio.create_subprocess_exec(
@@ -60,7 +60,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
 
-    async def ask(self, line: str) -> str:
+    async def send_command(self, line: str) -> str:
         """What the console says; nothing where it is not there."""
         try:
             reader, writer = await asyncio.open_connection(HOST, self.console)
@@ -77,7 +77,7 @@
         old = self.child
         await self.start(free_port())
         async with asyncio.timeout(SOON):
-            while not (await self.ask("STATUS")).startswith(("done", "error a lame duck")):
+            while not (await self.send_command("STATUS")).startswith(("done", "error a lame duck")):
                 await asyncio.sleep(0.01)
         return old
 
@@ -90,9 +90,9 @@
         return old.returncode or 0
 
     async def figures(self) -> Any:
-        return json.loads((await self.ask("METRICS")).splitlines()[0])
+        return json.loads((await self.send_command("METRICS")).splitlines()[0])
 
-    async def until(self, figure: str, value: int) -> None:
+    async def wait_for_figure(self, figure: str, value: int) -> None:
         async with asyncio.timeout(SOON):
             while (await self.figures())[figure] != value:
                 await asyncio.sleep(0.01)
@@ -140,7 +140,7 @@
     async def ask(self, client: Client, number: int) -> int:
         return (await client.ask(request(number, customer=f"{number % 97:016x}")))[0]
 
-    async def more(self, many: int) -> None:
+    async def wait_for_answers(self, many: int) -> None:
         until = len(self.answers) + many
         async with asyncio.timeout(3 * SOON):
             while len(self.answers) < until:
@@ -148,7 +148,7 @@
                 assert not done, [c.exception() for c in done]
                 await asyncio.sleep(0.01)
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self.ending = True
         await asyncio.gather(*self.clients)
 
@@ -165,20 +165,22 @@
                 await calls.register(f"b{number}", backend.address, startedAtMs=0, zone="z", leaseMs=600_000)
             for gateway in made:
                 await until_ready(gateway.bed)
-                await gateway.until("hosts_listed", 4)
+                await gateway.wait_for_figure("hosts_listed", 4)
             load = Load(made)
-            await load.more(100)
+            await load.wait_for_answers(100)
             at = (await calls.list())["generation"]
-            await copy.until(lambda s: s["generation"] == at)
+            await copy.wait_for_status(lambda s: s["generation"] == at)
             await leader.kill()
-            await copy.until(lambda s: s["watchers"] == GATEWAYS)  # all gateways turned to the follower
-            await load.more(100)
+            await copy.wait_for_status(
+                lambda s: s["watchers"] == GATEWAYS
+            )  # all gateways turned to the follower
+            await load.wait_for_answers(100)
             async with process(tmp_path / "a", port=leader.port) as (_, calls):
                 await calls.drain("b0")
                 for gateway in made:
-                    await gateway.until("hosts_down", 1)
+                    await gateway.wait_for_figure("hosts_down", 1)
                 seen = len(backends[0].seen)
-                await load.more(200)
+                await load.wait_for_answers(200)
                 assert len(backends[0].seen) == seen  # nothing after the news
                 await calls.call(
                     "DELETE",
@@ -186,9 +188,9 @@
                     match=(await calls.call("GET", "/v1/instances/b1"))[1]["version"],
                 )
                 for gateway in made:
-                    await gateway.until("hosts_listed", 3)
-                await load.more(100)
-            await load.end()
+                    await gateway.wait_for_figure("hosts_listed", 3)
+                await load.wait_for_answers(100)
+            await load.stop()
             assert [status for _, status in load.answers] == [200] * len(load.asked)
             served = [a[1]["x-call-id"] for b in backends for a in b.seen]
             assert sorted(served) == sorted(
@@ -223,8 +225,8 @@
             assert (await client.ask(request(1)))[0] == 200 and len(backends[0].seen) == 1
             late = Process(tmp_path / "a", port=int(where[0].rpartition(":")[2]))
             await late.start()
-            async with caller(late.address) as session:
-                await Caller(session, late.address).register("b1", backends[1].address, startedAtMs=0)
+            async with client_session(late.address) as session:
+                await ListClient(session, late.address).register("b1", backends[1].address, startedAtMs=0)
             number = 1
             while not backends[1].seen:  # the list is the service's now
                 number += 1
--- a/tests/test_directory_log.py
+++ b/tests/test_directory_log.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from embersill.directory.logfile import Corrupt, Log, NotWritten
+from embersill.directory.logfile import Log, StorageUnusable, WriteFailed
 from embersill.directory.store import Condition, Draft
 from tests.test_directory_store import NOW, process
 
@@ -22,7 +22,7 @@
 def add(log: Log, id: str, more: int = 0) -> None:
     draft = Draft(log.store, NOW)
     for number in range(more + 1):
-        draft.register(f"{id}{number or ''}", process("p"), Condition(absent=True))
+        draft.register(f"{id}{number or ''}", process("p"), Condition(must_be_absent=True))
     log.append(draft.records)
     log.store.apply(draft.records)
 
@@ -44,13 +44,13 @@
 
 def test_what_was_stored_is_there_again(tmp_path: pathlib.Path) -> None:
     log = Log(tmp_path)
-    assert log.fresh
+    assert log.is_new
     add(log, "a")
     add(log, "b")
     before = log.store.to_json()
     log.close()
     again = Log(tmp_path)
-    assert not again.fresh and again.store.to_json() == before and again.seq == 2
+    assert not again.is_new and again.store.to_json() == before and again.last_batch == 2
     again.close()
 
 
@@ -60,7 +60,7 @@
     for size in range(start, len(whole)):
         (tmp_path / "log").write_bytes(whole[:size])
         log = Log(tmp_path)
-        assert list(log.store.states) == ["a", "a1", "a2"] and log.cut == size - start
+        assert list(log.store.states) == ["a", "a1", "a2"] and log.truncated_bytes == size - start
         add(log, "c")
         log.close()
         assert ids(tmp_path) == ["a", "a1", "a2", "c"]
@@ -80,7 +80,7 @@
         damaged = bytearray(whole)
         damaged[place] ^= 0x15
         (tmp_path / "log").write_bytes(bytes(damaged))
-        with pytest.raises(Corrupt, match="log"):
+        with pytest.raises(StorageUnusable, match="log"):
             Log(tmp_path)
         assert (tmp_path / "log").read_bytes() == bytes(damaged)  # nothing is cut away in silence
 
@@ -89,13 +89,13 @@
     head, one, two, three = filled(tmp_path, "a", "b", "c").splitlines(keepends=True)
     for wrong in (head + one + three, head + one + one + two, one + two, b""):
         (tmp_path / "log").write_bytes(wrong)
-        with pytest.raises(Corrupt):
+        with pytest.raises(StorageUnusable):
             Log(tmp_path)
 
 
 def test_a_folder_is_held_by_one_process(tmp_path: pathlib.Path) -> None:
     log = Log(tmp_path)
-    with pytest.raises(Corrupt, match="in use"):
+    with pytest.raises(StorageUnusable, match="in use"):
         Log(tmp_path)
     log.close()
     Log(tmp_path).close()
@@ -104,14 +104,16 @@
 def test_a_snapshot_takes_the_place_of_the_log(tmp_path: pathlib.Path) -> None:
     log = Log(tmp_path, compact_at=1)
     add(log, "a")
-    assert log.due()
+    assert log.needs_compaction()
     before = log.store.to_json()
     log.compact(before)
     add(log, "b")
     log.close()
     assert len((tmp_path / "log").read_bytes().splitlines()) == 2
     again = Log(tmp_path)
-    assert list(again.store.states) == ["a", "b"] and again.store.since(before["generation"]) is not None
+    assert (
+        list(again.store.states) == ["a", "b"] and again.store.records_after(before["generation"]) is not None
+    )
     again.close()
 
 
@@ -129,7 +131,7 @@
         rename(source, target)
 
     monkeypatch.setattr(os, "rename", ends)
-    with pytest.raises(NotWritten):
+    with pytest.raises(WriteFailed):
         log.compact(log.store.to_json())
     add(log, "b")
     log.close()
@@ -157,7 +159,7 @@
             (tmp_path / name).unlink()
         else:
             (tmp_path / name).write_bytes(content)
-        with pytest.raises(Corrupt):
+        with pytest.raises(StorageUnusable):
             Log(tmp_path)
 
 
@@ -168,7 +170,7 @@
     before = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (size + 50, before[1]))  # a part of the batch still fits
     try:
-        with pytest.raises(NotWritten):
+        with pytest.raises(WriteFailed):
             add(log, "b")
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, before)
@@ -189,9 +191,9 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(os, "fdatasync", fails)
-        with pytest.raises(NotWritten):
+        with pytest.raises(WriteFailed):
             add(log, "b")
-    with pytest.raises(NotWritten, match="synced"):  # what the disk holds is not known
+    with pytest.raises(WriteFailed, match="synced"):  # what the disk holds is not known
         add(log, "c")
     log.close()
     assert ids(tmp_path) == ["a"]
@@ -269,12 +271,12 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(os, "fdatasync", fails)
-        with pytest.raises(NotWritten):
+        with pytest.raises(WriteFailed):
             add(log, "b")
         patch.setattr(os, "fsync", fails)
-        with pytest.raises(NotWritten, match="new files"):
+        with pytest.raises(WriteFailed, match="new files"):
             log.recover(log.store.to_json())
-        with pytest.raises(NotWritten, match="synced"):
+        with pytest.raises(WriteFailed, match="synced"):
             add(log, "b")
     assert (tmp_path / "snapshot").exists() is False
     log.recover(log.store.to_json())
@@ -291,10 +293,10 @@
     add(log, "a")
     with monkeypatch.context() as patch:
         patch.setattr(os, "fdatasync", lambda file: (_ for _ in ()).throw(OSError(errno.EIO, "the disk")))
-        with pytest.raises(NotWritten):
+        with pytest.raises(WriteFailed):
             add(log, "b")
-        patch.setattr(Log, "begin_log", lambda log: (_ for _ in ()).throw(OSError(errno.ENOSPC, "full")))
-        with pytest.raises(NotWritten):
+        patch.setattr(Log, "start_new_log", lambda log: (_ for _ in ()).throw(OSError(errno.ENOSPC, "full")))
+        with pytest.raises(WriteFailed):
             log.recover(log.store.to_json())
     log.close()
     assert ids(tmp_path) == ["a"]
--- a/tests/test_directory_service.py
+++ b/tests/test_directory_service.py
@@ -19,19 +19,19 @@
 
 from embersill.directory import front, service
 from embersill.directory.__main__ import Program
-from embersill.directory.front import BoundedLog
-from embersill.directory.logfile import NotWritten
-from embersill.directory.service import RECOVER_EVERY
+from embersill.directory.front import RateLimitedLog
+from embersill.directory.logfile import WriteFailed
+from embersill.directory.service import RECOVERY_INTERVAL
 from embersill.lab.peers import HOST, read_message
 from embersill.net.listing import read_listing
-from tests.lists import ROOT, Caller, Process, process, run, served
+from tests.lists import ROOT, ListClient, Process, process, run, served
 from tests.peers import SOON
 
 
 def set_clock(program: Program, now: list[float]) -> None:
     """From here on the service goes by this time, at which its last tick was."""
     program.service.clock = lambda: now[0]
-    program.service.leases.ticked = now[0]
+    program.service.leases.last_tick_at = now[0]
 
 
 def ids(listing: Any) -> dict[str, str]:
@@ -67,7 +67,7 @@
                 "instances": [],
             }
             watch = asyncio.create_task(calls.list(whole["generation"], 20_000))
-            await calls.until(lambda s: s["watchers"] == 1)
+            await calls.wait_for_status(lambda s: s["watchers"] == 1)
             await calls.drain("a")
             told = await watch
             assert (
@@ -112,7 +112,7 @@
             await calls.register("a")
             at = (await calls.list())["generation"]
             watches = [asyncio.create_task(calls.list(at, 20_000)) for _ in range(50)]
-            await calls.until(lambda s: s["watchers"] == 50)
+            await calls.wait_for_status(lambda s: s["watchers"] == 50)
             before = program.service.figures["answers encoded"]
             await asyncio.gather(*(calls.register(f"b{n}") for n in range(10)))
             told = await asyncio.gather(*watches)
@@ -130,12 +130,12 @@
             await calls.register("a")
             at = (await calls.list())["generation"]
             watches = [asyncio.create_task(calls.list(at, 20_000)) for _ in range(2)]
-            await calls.until(lambda s: s["watchers"] == 2)
+            await calls.wait_for_status(lambda s: s["watchers"] == 2)
             status, told, headers = await calls.call("GET", f"/v1/endpoints?since={at}&timeout_ms=9000")
             assert status == 503 and 1 <= int(headers["retry-after"]) <= 5 and "no room" in told["error"]
             assert (await calls.list())["instances"]  # reading needs no place
             watches[0].cancel()
-            await calls.until(lambda s: s["watchers"] == 1)
+            await calls.wait_for_status(lambda s: s["watchers"] == 1)
             await calls.drain("a")
             assert ids(await watches[1]) == {"a": "DRAINING"}
 
@@ -146,8 +146,8 @@
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(front, "WRITE_WITHIN", 0.1)
-        monkeypatch.setattr("embersill.directory.__main__.FIRST_CALL_WITHIN", 0.1)
+        monkeypatch.setattr(front, "WRITE_TIMEOUT", 0.1)
+        monkeypatch.setattr("embersill.directory.__main__.FIRST_REQUEST_TIMEOUT", 0.1)
         async with served(tmp_path) as (program, calls):
             for number in range(100):
                 await calls.register(f"instance-{number:060d}", zone="z" * 64, machineType="m" * 64)
@@ -317,13 +317,13 @@
 
 def test_refused_calls_are_logged_at_a_bounded_rate(caplog: pytest.LogCaptureFixture) -> None:
     now = [0.0]
-    lines = BoundedLog(lambda: now[0])
+    lines = RateLimitedLog(lambda: now[0])
     for number in range(500):
-        lines.say(f"line {number}")
-    assert len(caplog.records) == front.SAID
-    now[0] += front.SAY_EVERY
-    lines.say("one more")
-    assert caplog.messages[-1] == f"one more ({500 - front.SAID} such lines before it left out)"
+        lines.warn(f"line {number}")
+    assert len(caplog.records) == front.MAX_WINDOW_LINES
+    now[0] += front.LOG_WINDOW
+    lines.warn("one more")
+    assert caplog.messages[-1] == f"one more ({500 - front.MAX_WINDOW_LINES} such lines before it left out)"
 
 
 def test_what_is_no_http_is_refused_and_told_in_one_line_at_the_same_rate(
@@ -333,13 +333,13 @@
         async with served(tmp_path) as (program, calls):
             caplog.clear()
             host, _, port = calls.address.rpartition(":")
-            for number in range(3 * front.SAID):
+            for number in range(3 * front.MAX_WINDOW_LINES):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(b"GET /v1/endpoints HTTP/1.1\r\nbad header %d\r\n\r\n" % number)
                 async with asyncio.timeout(SOON):
                     assert b" 400 " in await reader.readline()
                 writer.close()
-            assert len(caplog.messages) == front.SAID and "bad header" in caplog.messages[0]
+            assert len(caplog.messages) == front.MAX_WINDOW_LINES and "bad header" in caplog.messages[0]
             assert not any(record.exc_info for record in caplog.records)
 
     run(test)
@@ -355,8 +355,8 @@
                 version = await calls.register(f"i{number}", leaseMs=1000)
                 assert version > last
                 last = version
-                await program.service.tick()
-            assert len((await calls.list())["instances"]) == 5 and not program.service.leases.run_out(1000.9)
+                await program.service.check_leases()
+            assert len((await calls.list())["instances"]) == 5 and not program.service.leases.expired(1000.9)
 
     run(test)
 
@@ -370,7 +370,7 @@
             known = await calls.list()
 
             def full(records: Any) -> None:
-                raise NotWritten("no space")
+                raise WriteFailed("no space")
 
             with monkeypatch.context() as patch:
                 patch.setattr(program.service.log, "append", full)
@@ -400,9 +400,9 @@
                 patch.setattr(os, "fdatasync", fails)
                 patch.setattr(os, "fsync", fails)
                 for _ in range(3):
-                    now[0] += RECOVER_EVERY
+                    now[0] += RECOVERY_INTERVAL
                     assert (await calls.call("PUT", "/v1/instances/b", GOOD, absent=True))[0] == 503
-            now[0] += RECOVER_EVERY
+            now[0] += RECOVERY_INTERVAL
             await calls.register("c")
         async with served(tmp_path) as (program, calls):
             assert set(ids(await calls.list())) == {"a", "c"}
@@ -421,16 +421,16 @@
             for number in range(10):
                 await calls.register(f"i{number}")
             for _ in range(40):  # a network cut: the ticks go on, no renewal comes
-                now[0] += service.TICK
-                await program.service.tick()
+                now[0] += service.LEASE_CHECK_INTERVAL
+                await program.service.check_leases()
             assert len((await calls.list())["instances"]) == 10
-            status = await calls.until(lambda s: s["leases"]["removal_held"])
+            status = await calls.wait_for_status(lambda s: s["leases"]["removal_held"])
             assert len(status["leases"]["run_out"]) == 10
             for number in range(8):
                 await calls.call("POST", f"/v1/instances/i{number}/lease", {"process": f"p-i{number}"})
             assert (await calls.call("POST", "/v1/leases/resume"))[1] == {"removed": ["i8", "i9"]}
             assert len((await calls.list())["instances"]) == 8
-            assert not (await calls.until(lambda s: True))["leases"]["removal_held"]
+            assert not (await calls.wait_for_status(lambda s: True))["leases"]["removal_held"]
 
     run(test)
 
@@ -444,8 +444,8 @@
                 await calls.register(f"i{number}", leaseMs=1000 if number == 3 else 600_000)
             at = (await calls.list())["generation"]
             for _ in range(3):
-                now[0] += service.TICK
-                await program.service.tick()
+                now[0] += service.LEASE_CHECK_INTERVAL
+                await program.service.check_leases()
             assert ids(await calls.list(at)) == {"i3": "DELETED"}
 
     run(test)
@@ -462,9 +462,9 @@
         ):
             await calls.register("a")
             at = (await calls.list())["generation"]
-            await copy.until(lambda s: s["generation"] == at)
+            await copy.wait_for_status(lambda s: s["generation"] == at)
             watch = asyncio.create_task(copy.list(at, 20_000))
-            await copy.until(lambda s: s["watchers"] == 1)
+            await copy.wait_for_status(lambda s: s["watchers"] == 1)
             await calls.drain("a")
             assert ids(await watch) == {"a": "DRAINING"}
             status, told, headers = await copy.call("PUT", "/v1/instances/b", GOOD, absent=True)
@@ -474,12 +474,12 @@
             assert await copy.list() == known
             status = (await copy.call("GET", f"/v1/endpoints?since={known['generation'] + 1}"))[0]
             assert status == 503  # a reader that has more is not told less
-            behind = (await copy.until(lambda s: s["lag_s"] > 0.2))["lag_s"]
-            assert (await copy.until(lambda s: s["lag_s"] > behind))["ready"]
+            behind = (await copy.wait_for_status(lambda s: s["lag_s"] > 0.2))["lag_s"]
+            assert (await copy.wait_for_status(lambda s: s["lag_s"] > behind))["ready"]
             async with process(tmp_path / "a", port=leader.port) as (_, calls):
                 await calls.register("b")
                 now = (await calls.list())["generation"]
-                await copy.until(lambda s: s["generation"] == now)
+                await copy.wait_for_status(lambda s: s["generation"] == now)
                 assert ids(await copy.list(known["generation"])) == {"b": "SERVING"}  # one history went on
 
     run(test)
@@ -497,17 +497,17 @@
         ):
             await calls.register("lost")
             lost = (await calls.list())["generation"]
-            await copy.until(lambda s: s["generation"] == lost)
+            await copy.wait_for_status(lambda s: s["generation"] == lost)
             await again.kill()
             async with process(tmp_path / "old", port=leader.port) as (_, calls):
                 now = await calls.list(lost)
                 assert now["reset"] and now["generation"] > lost and ids(now) == {"a": "SERVING"}
-                await copy.until(lambda s: s["generation"] == now["generation"])
+                await copy.wait_for_status(lambda s: s["generation"] == now["generation"])
                 told = await copy.list(lost)
                 assert told["reset"] and ids(told) == {"a": "SERVING"}
                 older = program.service.store.to_json() | {"generation": lost}
                 with pytest.raises(Exception, match="older"):
-                    await program.service.copy_all(older)
+                    await program.service.replace_list(older)
                 assert (await copy.list())["generation"] == now["generation"]
 
     run(test)
@@ -537,7 +537,7 @@
             await calls.register("a")
             at = (await calls.list())["generation"]
             async with process(tmp_path / "b", "--follow", leader.address) as (_, copy):
-                await copy.until(lambda s: s["generation"] == at)
+                await copy.wait_for_status(lambda s: s["generation"] == at)
         done = start(tmp_path / "b")
         assert done.returncode == 1 and "--promote" in done.stderr and len(done.stderr.splitlines()) == 1
         async with process(tmp_path / "b", "--promote") as (promoted, copy):
@@ -611,7 +611,7 @@
                 last = told["generation"]
                 stop = asyncio.Event()
 
-                async def write(writer: int, calls: Caller, life: int, stop: asyncio.Event) -> None:
+                async def write(writer: int, calls: ListClient, life: int, stop: asyncio.Event) -> None:
                     for number in range(10_000):
                         id = f"i{life}-{writer}-{number}"
                         try:
@@ -663,7 +663,7 @@
                 asyncio.create_task(calls.call("GET", f"/v1/endpoints?since={at}&timeout_ms=50000"))
                 for _ in range(20)
             ]
-            await calls.until(lambda s: s["watchers"] == 20)
+            await calls.wait_for_status(lambda s: s["watchers"] == 20)
             made.child.send_signal(signal.SIGTERM)
             for status, told, headers in await asyncio.gather(*watches):
                 assert status == 200 and told["generation"] == at and headers["connection"] == "close"
@@ -683,7 +683,7 @@
             made.child.send_signal(signal.SIGSTOP)
             await asyncio.sleep(3.0)  # far over all leases
             made.child.send_signal(signal.SIGCONT)
-            assert (await made.said(r"all leases got ([\d.]+) s back"))[1] != "0.0"
+            assert (await made.wait_for_log(r"all leases got ([\d.]+) s back"))[1] != "0.0"
             for number in range(1, 10):
                 status, _, _ = await calls.call(
                     "POST", f"/v1/instances/i{number}/lease", {"process": f"p-i{number}"}
--- a/tests/test_directory_store.py
+++ b/tests/test_directory_store.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from embersill.directory.form import (
-    BadForm,
     Entry,
+    InvalidFormat,
     Registration,
     read_registration,
     record_from_json,
@@ -20,17 +20,17 @@
 from embersill.directory.leases import Leases
 from embersill.directory.store import (
     Condition,
+    ConditionMissing,
     Conflict,
-    Done,
     Draft,
-    State,
+    InstanceState,
     Store,
-    Unconditional,
-    Unknown,
+    UnknownInstance,
+    WriteResult,
 )
 
 NOW = 1_700_000_000_000_000
-ABSENT = Condition(absent=True)
+ABSENT = Condition(must_be_absent=True)
 
 
 def process(name: str, port: int = 80, started: int | None = None) -> Registration:
@@ -40,7 +40,7 @@
     return read_registration(body, NOW // 1000)
 
 
-def does(store: Store, write: Callable[[Draft], Done], now: int = NOW) -> Done:
+def does(store: Store, write: Callable[[Draft], WriteResult], now: int = NOW) -> WriteResult:
     draft = Draft(store, now)
     done = write(draft)
     store.apply(draft.records)
@@ -55,11 +55,11 @@
 
 def starts(store: Store, now: int = NOW) -> None:
     draft = Draft(store, now)
-    draft.start()
+    draft.add_start_record()
     store.apply(draft.records)
 
 
-def registered(store: Store, id: str = "a", name: str = "p1", now: int = NOW) -> State:
+def registered(store: Store, id: str = "a", name: str = "p1", now: int = NOW) -> InstanceState:
     state = does(store, lambda d: d.register(id, process(name), ABSENT), now).state
     assert state is not None
     return state
@@ -79,7 +79,7 @@
     assert first.created and not again.changed and again.state == first.state
     with pytest.raises(Conflict):
         does(store, lambda d: d.register("a", process("p2"), ABSENT))
-    with pytest.raises(Unconditional):
+    with pytest.raises(ConditionMissing):
         does(store, lambda d: d.register("a", process("p2"), Condition()))
     with pytest.raises(Conflict):
         does(store, lambda d: d.register("b", process("p2"), Condition(version=7)))
@@ -121,7 +121,7 @@
         with pytest.raises(Conflict):
             does(store, late)
     does(store, lambda d: d.remove("a", Condition(version=new.version)))
-    with pytest.raises(Unknown):
+    with pytest.raises(UnknownInstance):
         does(store, lambda d: d.renew("a", "p2"))
     assert not store.entries()
 
@@ -131,7 +131,7 @@
     at = Condition(version=registered(store).version)
     assert does(store, lambda d: d.remove("a", at)).changed
     assert not does(store, lambda d: d.remove("a", at)).changed
-    with pytest.raises(Unknown):
+    with pytest.raises(UnknownInstance):
         does(store, lambda d: d.remove("b", at))
 
 
@@ -153,9 +153,9 @@
     starts(store)
     registered(store, "a", "p3")
     assert lifecycles(store) == {"a": "DRAINING"}
-    lifted = does(store, lambda d: d.lift("a", Condition(version=store.states["a"].version)))
+    lifted = does(store, lambda d: d.lift_drain("a", Condition(version=store.states["a"].version)))
     assert lifted.changed and lifecycles(store) == {"a": "SERVING"}
-    assert not does(store, lambda d: d.lift("a", Condition(version=1))).changed
+    assert not does(store, lambda d: d.lift_drain("a", Condition(version=1))).changed
 
 
 def test_lifting_a_drain_leaves_what_the_instance_says_of_itself() -> None:
@@ -164,7 +164,7 @@
     own = does(store, lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition(store.states["a"].version)))
     assert own.state is not None
     assert not does(store, lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition())).changed
-    does(store, lambda d: d.lift("a", Condition(version=store.states["a"].version)))
+    does(store, lambda d: d.lift_drain("a", Condition(version=store.states["a"].version)))
     assert lifecycles(store) == {"a": "DRAINING"}
 
 
@@ -178,12 +178,12 @@
     does(store, lambda d: d.drain("a", "ann", "", Condition(version=state.version)))
     registered(store, "b", "p2")
     does(store, lambda d: d.expire("b"))
-    told = store.changes(at)
+    told = store.changes_after(at)
     assert told is not None and [(e["instanceId"], e["lifecycle"]) for e in told] == [
         ("a", "DRAINING"),
         ("b", "DELETED"),
     ]
-    assert store.changes(store.generation) == []
+    assert store.changes_after(store.generation) == []
 
 
 def test_a_version_that_this_history_does_not_hold_needs_the_whole_list() -> None:
@@ -191,10 +191,12 @@
     first = store.generation
     for number in range(12):
         registered(store, f"i{number}", "p")
-    assert store.changes(first) is None  # older than the history
-    assert store.changes(0) is None and store.changes(NOW - 1) is None
-    assert store.changes(store.generation + 1) is None  # of a history that went further
-    assert store.floor is not None and len(store.changes(store.floor) or []) == len(store.history)
+    assert store.changes_after(first) is None  # older than the history
+    assert store.changes_after(0) is None and store.changes_after(NOW - 1) is None
+    assert store.changes_after(store.generation + 1) is None  # of a history that went further
+    assert store.history_start is not None and len(store.changes_after(store.history_start) or []) == len(
+        store.history
+    )
 
 
 def test_a_restored_copy_counts_from_above_what_was_told_and_knows_no_number_of_the_lost_part() -> None:
@@ -205,8 +207,8 @@
     lost = [registered(store, f"x{n}", "p", NOW + n).version for n in range(50)]
     starts(copy, NOW + 10**6)
     registered(copy, "new", "p", NOW + 10**6)
-    assert copy.generation > max(lost) and all(copy.changes(g) is None for g in lost)
-    told = copy.changes(kept)
+    assert copy.generation > max(lost) and all(copy.changes_after(g) is None for g in lost)
+    told = copy.changes_after(kept)
     assert told is not None and [e["instanceId"] for e in told] == ["new"]
 
 
@@ -231,14 +233,14 @@
         elif kind == 2 and state:
             draft.drain(id, f"staff{place}", "", at)
         elif kind == 3 and state and state.drain:
-            draft.lift(id, at)
+            draft.lift_drain(id, at)
         elif kind > 3:
             draft.expire(id)
         store.apply(draft.records)
         assert store.generation >= before and len(store.history) <= 16
         if place == ask_after:
             known, version = {e["instanceId"]: e for e in store.entries()}, store.generation
-    changes = store.changes(version)
+    changes = store.changes_after(version)
     if changes is None:
         return
     for entry in changes:
@@ -252,9 +254,9 @@
 def test_a_batch_out_of_order_is_told() -> None:
     store = begun()
     draft = Draft(store, NOW)
-    draft.start()
+    draft.add_start_record()
     store.apply(draft.records)
-    with pytest.raises(BadForm):
+    with pytest.raises(InvalidFormat):
         store.apply(draft.records)
 
 
@@ -264,7 +266,7 @@
     for record in store.history:
         assert record_from_json(json.loads(json.dumps(record_to_json(record)))) == record
     for rubbish in (None, [], [1, 2], ["x", "a", None, None], [1, "a", [1], None], [1, "a", None, [1]]):
-        with pytest.raises(BadForm):
+        with pytest.raises(InvalidFormat):
             record_from_json(rubbish)
 
 
@@ -308,7 +310,7 @@
     body: dict[str, object] = {"hostPort": "127.0.0.1:80", "process": "p"}
     assert isinstance(read_registration(body, NOW // 1000).entry, Entry)
     body[field] = wrong
-    with pytest.raises(BadForm, match=field):
+    with pytest.raises(InvalidFormat, match=field):
         read_registration(body, NOW // 1000)
 
 
@@ -318,13 +320,13 @@
 def kept(many: int, now: float = 0.0, lease: float = 10.0) -> Leases:
     leases = Leases(now)
     for number in range(many):
-        leases.keep(f"i{number}", lease, now)
+        leases.renew(f"i{number}", lease, now)
     return leases
 
 
 def renew(leases: Leases, now: float, which: range) -> None:
     for number in which:
-        leases.keep(f"i{number}", 10.0, now)
+        leases.renew(f"i{number}", 10.0, now)
 
 
 def ticks(leases: Leases, start: float, end: float) -> list[str]:
@@ -341,26 +343,28 @@
     leases = kept(20)
     assert not ticks(leases, 0.0, 9.0)
     renew(leases, 9.0, range(4, 20))
-    assert sorted(ticks(leases, 9.0, 12.0)) == ["i0", "i1", "i2", "i3"] and not leases.held
+    assert sorted(ticks(leases, 9.0, 12.0)) == ["i0", "i1", "i2", "i3"] and not leases.removal_held
 
 
 def test_many_that_run_out_together_are_held_until_they_renew() -> None:
     leases = kept(20)
     ticks(leases, 0.0, 9.0)
     renew(leases, 9.0, range(5, 20))
-    assert not ticks(leases, 9.0, 15.0) and leases.held and len(leases.run_out(15.0)) == 5
+    assert not ticks(leases, 9.0, 15.0) and leases.removal_held and len(leases.expired(15.0)) == 5
     renew(leases, 15.0, range(1, 20))
-    assert not ticks(leases, 15.0, 16.0) and leases.held  # one is still out: an operator's word, or its own
+    assert (
+        not ticks(leases, 15.0, 16.0) and leases.removal_held
+    )  # one is still out: an operator's word, or its own
     renew(leases, 16.0, range(20))
     ticks(leases, 16.0, 16.5)
-    assert not leases.held
+    assert not leases.removal_held
 
 
 def test_many_that_run_out_one_after_the_other_are_held_beyond_the_share() -> None:
     leases = Leases(0.0)
     for number in range(20):
-        leases.keep(f"i{number}", 10.0 + number, 0.0)
-    assert len(ticks(leases, 0.0, 29.0)) == 4 and leases.held
+        leases.renew(f"i{number}", 10.0 + number, 0.0)
+    assert len(ticks(leases, 0.0, 29.0)) == 4 and leases.removal_held
 
 
 def test_an_operators_word_removes_what_ran_out_and_only_that() -> None:
@@ -368,21 +372,25 @@
     ticks(leases, 0.0, 9.0)
     renew(leases, 9.0, range(12, 20))
     ticks(leases, 9.0, 12.0)
-    assert leases.held and len(leases.resume(12.0)) == 12 and not leases.held
+    assert leases.removal_held and len(leases.resume(12.0)) == 12 and not leases.removal_held
     assert leases.resume(12.0) == []
 
 
 def test_the_last_instance_is_not_removed_by_itself() -> None:
     leases = kept(1)
-    assert not ticks(leases, 0.0, 20.0) and leases.held
+    assert not ticks(leases, 0.0, 20.0) and leases.removal_held
 
 
 def test_the_services_own_pause_is_given_back() -> None:
     leases = kept(20)
     ticks(leases, 0.0, 8.0)
-    assert not leases.tick(100.0, 0.5) and not leases.held and leases.given_back == pytest.approx(91.5)
+    assert (
+        not leases.tick(100.0, 0.5)
+        and not leases.removal_held
+        and leases.compensated_delay == pytest.approx(91.5)
+    )
     assert not ticks(leases, 100.0, 101.0)  # the renewals that waited unread have their time
-    assert leases.left("i0", 101.0) == pytest.approx(0.5, abs=0.6)
+    assert leases.remaining("i0", 101.0) == pytest.approx(0.5, abs=0.6)
 
 
 # drains of what is not listed, and writes that rest on the whole list
@@ -391,18 +399,18 @@
 def test_a_drain_can_be_set_before_there_is_an_instance_and_readers_hear_nothing_of_it() -> None:
     store = begun()
     at = store.generation
-    with pytest.raises(Unknown):
+    with pytest.raises(UnknownInstance):
         does(store, lambda d: d.drain("gateway:n0", "ann", "", Condition(version=at)))
     assert does(store, lambda d: d.drain("gateway:n0", "ann", "", ABSENT)).changed
-    assert not store.entries() and store.changes(at) == [] and not store.has_news(at)
+    assert not store.entries() and store.changes_after(at) == [] and not store.has_news(at)
     with pytest.raises(Conflict):
         does(store, lambda d: d.drain("gateway:n0", "bob", "", ABSENT))
     state = registered(store)
-    assert store.has_news(at) and [e["instanceId"] for e in store.changes(at) or []] == ["a"]
+    assert store.has_news(at) and [e["instanceId"] for e in store.changes_after(at) or []] == ["a"]
     again = Store.from_json(json.loads(json.dumps(store.to_json())))
     assert again.to_json() == store.to_json() and not again.has_news(state.version)
     assert does(
-        store, lambda d: d.lift("gateway:n0", Condition(version=store.states["gateway:n0"].version))
+        store, lambda d: d.lift_drain("gateway:n0", Condition(version=store.states["gateway:n0"].version))
     ).changed
     assert "gateway:n0" not in store.states and not store.has_news(state.version)
 
@@ -411,12 +419,16 @@
     store = begun()
     one, two = registered(store, "a"), registered(store, "b", "p2")
     at = store.generation
-    assert does(store, lambda d: d.drain("a", "ann", "", Condition(version=one.version, list=at))).changed
-    assert not does(store, lambda d: d.drain("a", "ann", "", Condition(version=one.version, list=at))).changed
+    assert does(
+        store, lambda d: d.drain("a", "ann", "", Condition(version=one.version, list_version=at))
+    ).changed
+    assert not does(
+        store, lambda d: d.drain("a", "ann", "", Condition(version=one.version, list_version=at))
+    ).changed
     with pytest.raises(Conflict, match="list"):
-        does(store, lambda d: d.drain("b", "bob", "", Condition(version=two.version, list=at)))
+        does(store, lambda d: d.drain("b", "bob", "", Condition(version=two.version, list_version=at)))
     batch = Draft(store, NOW)  # nor do both pass in one batch
     at = store.generation
-    batch.lift("a", Condition(version=store.states["a"].version))
+    batch.lift_drain("a", Condition(version=store.states["a"].version))
     with pytest.raises(Conflict, match="list"):
-        batch.drain("b", "bob", "", Condition(version=two.version, list=at))
+        batch.drain("b", "bob", "", Condition(version=two.version, list_version=at))
--- a/tests/test_ops_real.py
+++ b/tests/test_ops_real.py
@@ -14,7 +14,7 @@
 
 from embersill.lab.peers import HOST, Asked, Peer, free_port, read_message
 from tests.bed import READY, request
-from tests.lists import Caller, process, run
+from tests.lists import ListClient, process, run
 from tests.peers import SOON, BackendPeer
 from tests.test_directory_gateways import GatewayProcess, Load, gateways
 from tests.test_program import ROOT, until_ready
@@ -28,7 +28,7 @@
     def __init__(
         self,
         folder: pathlib.Path,
-        calls: Caller,
+        calls: ListClient,
         made: list[GatewayProcess],
         backends: list[BackendPeer],
         directory: list[str],
@@ -89,7 +89,7 @@
             await calls.register(f"b{number}", backend.address, startedAtMs=0, zone="z", leaseMs=600_000)
         for gateway in made:
             await until_ready(gateway.bed)
-            await gateway.until("hosts_listed", BACKENDS)
+            await gateway.wait_for_figure("hosts_listed", BACKENDS)
         yield Site(folder, calls, made, backends, [service.address])
 
 
@@ -97,17 +97,17 @@
     async def test() -> None:
         async with site(tmp_path) as fleet:
             load = Load(fleet.gateways)
-            await load.more(50)
+            await load.wait_for_answers(50)
             code, _, err = await fleet.ops("drain", "backend", "b0", "--wait", "--timeout", "20")
             assert code == 0 and "empty" in err, err
             seen = len(fleet.backends[0].seen)
-            await load.more(200)
+            await load.wait_for_answers(200)
             assert len(fleet.backends[0].seen) == seen and not fleet.backends[0].open  # idle ones are closed
             code, out, _ = await fleet.ops("drain", "backend", "b0", "--wait", "--json")
             assert code == 0 and json.loads(out)["result"] == "done"  # said again, it is done
             assert (await fleet.ops("undrain", "backend", "b0"))[0] == 0
             await fleet.backends[0].until(lambda: len(fleet.backends[0].seen) > seen)
-            await load.end()
+            await load.stop()
             check(fleet, load)
 
     run(test)
@@ -188,7 +188,7 @@
             assert (await fleet.ops("drain", "backend", "b1", "--wait"))[
                 0
             ] == 0  # n0 need not be asked any more
-            await load.end()
+            await load.stop()
             assert {status for _, status in load.answers} == {200}
             code, out, _ = await fleet.ops("status", "--json")
             assert code == 0 and "unreachable" in json.loads(out)["gateways"]["n0"]
@@ -222,7 +222,7 @@
             assert b"n0 ends, with nothing open" in err
             async with asyncio.timeout(SOON):
                 assert await leaving.child.wait() == 0
-            await load.end()
+            await load.stop()
             assert {status for _, status in load.answers} == {200}
 
     run(test)
@@ -250,13 +250,13 @@
     async def test() -> None:
         async with site(tmp_path) as fleet:
             load = Load(fleet.gateways)
-            await load.more(50)
+            await load.wait_for_answers(50)
             code, _, err = await fleet.ops("drain", "machine", "m0", "--dry-run")
             assert code == 0 and await fleet.lifecycle("b0") == "SERVING"
             fleet.write([fleet.calls.address], 0.001)
             code, _, err = await fleet.ops("drain", "machine", "m0", "--wait")
             assert code == 3 and "those left bear" in err and await fleet.lifecycle("b0") == "SERVING"
-            await load.end()
+            await load.stop()
             check(fleet, load)
             fleet.write([fleet.calls.address], 1000.0)
             code, _, err = await fleet.ops("drain", "machine", "m0", "--wait")
@@ -360,7 +360,7 @@
         ):
             fleet.write([follower.address, fleet.calls.address], 1000.0)
             _, told, _ = await fleet.calls.call("GET", "/v1/status")
-            await copy.until(lambda s: s["generation"] == told["generation"])
+            await copy.wait_for_status(lambda s: s["generation"] == told["generation"])
             code, _, err = await fleet.ops(
                 "drain", "backend", "b0", "--wait"
             )  # read there, written at the leader
