--- a/embersill/directory/__init__.py
+++ b/embersill/directory/__init__.py
@@ -1,1 +1,3 @@
-"""The list service: who serves, who drains, who is gone. The gateway reads it and never imports it."""
+"""The list service: keeps the list of backends and their lifecycles. Gateways read it over HTTP only;
+the gateway never imports this package.
+"""
--- a/embersill/directory/__main__.py
+++ b/embersill/directory/__main__.py
@@ -1,4 +1,4 @@
-"""The list service as a program: its options, its start, and an end in order on SIGTERM."""
+"""The list service as a program: command-line options, startup, and graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -18,98 +18,104 @@
 from embersill.directory.logfile import StorageUnusable
 from embersill.directory.service import MAX_WATCHERS, Options, Service
 
-OTHER_CONNECTIONS = 1280  # connections beside those of watchers: 1,024 instances that renew, staff, followers
-BACKLOG = 1024  # connections not yet accepted: a fleet that returns together
-SHUTDOWN_TIMEOUT = 5.0  # seconds for calls under way to end after SIGTERM
+OTHER_CONNECTIONS = 1280  # besides those of watchers: 1,024 instances that renew, operators, followers
+BACKLOG = 1024  # connections not yet accepted: all gateways may reconnect at once
+SHUTDOWN_TIMEOUT = 5.0  # seconds for requests in progress to end after SIGTERM
 
 log = logging.getLogger("embersill.directory")
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Host and port of HOST:PORT; an IPv6 host may stand in brackets."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
-        raise argparse.ArgumentTypeError(f"{text!r} is no HOST:PORT")
+        raise argparse.ArgumentTypeError(f"{text!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
 def parse_leader(text: str) -> str:
+    """Checks a leader's HOST:PORT, whose port must not be 0, and returns it unchanged."""
     if parse_address(text)[1] == 0:
-        raise argparse.ArgumentTypeError(f"{text!r} names no port")
+        raise argparse.ArgumentTypeError(f"{text!r} has no port")
     return text
 
 
-def number_in_range(least: float, most: float, kind: type[int] | type[float]) -> Callable[[str], float]:
-    def read(text: str) -> float:
+def number_in_range(low: float, high: float, kind: type[int] | type[float]) -> Callable[[str], float]:
+    """An argparse type for numbers from low to high, both included."""
+
+    def parse(text: str) -> float:
         try:
             value = kind(text)
         except ValueError:
-            value = kind(least - 1)
-        if not least <= value <= most:
-            raise argparse.ArgumentTypeError(f"{text!r} is no number from {least:g} to {most:g}")
+            value = kind(low - 1)
+        if not low <= value <= high:
+            raise argparse.ArgumentTypeError(f"{text!r} is not a number from {low:g} to {high:g}")
         return value
 
-    return read
+    return parse
 
 
 def build_parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(
+    """The parser of the command line."""
+    parser = argparse.ArgumentParser(
         prog="python -m embersill.directory",
-        description="Keeps the list of backends that gateways read. docs/directory.md has the calls.",
-        epilog="Ends with 0 after SIGTERM, with 1 where it could not start or go on, with 2 on bad use.",
+        description="Keeps the list of backends that gateways read. docs/directory.md has the HTTP interface.",
+        epilog="Exit status: 0 after SIGTERM, 1 if it could not start or continue, 2 on invalid arguments.",
     )
-    made.add_argument(
+    parser.add_argument(
         "--listen",
         type=parse_address,
         required=True,
         metavar="HOST:PORT",
-        help="where it is called; port 0 takes a free one, which the log names",
+        help="address to listen on; with port 0 a free port is chosen and logged",
     )
-    made.add_argument(
+    parser.add_argument(
         "--data",
         type=pathlib.Path,
         required=True,
         metavar="DIR",
-        help="the folder that keeps the list; made if it is not there",
+        help="directory that stores the list; created if missing",
     )
-    role = made.add_mutually_exclusive_group()
+    role = parser.add_mutually_exclusive_group()
     role.add_argument(
         "--follow",
         type=parse_leader,
         metavar="HOST:PORT",
-        help="copy that leader's list, serve reads, refuse writes",
+        help="replicate that leader's list, serve reads, refuse writes",
     )
     role.add_argument(
         "--promote",
         action="store_true",
-        help="lead from here on with a folder that was a follower's; the old leader must not run",
+        help="become the leader with a directory that was a follower's; the old leader must not be running",
     )
-    made.add_argument(
+    parser.add_argument(
         "--watchers",
         type=number_in_range(1, 50_000, int),
         default=MAX_WATCHERS,
         metavar="N",
-        help="watches that may stand at once (default %(default)s)",
+        help="maximum number of concurrent watches (default %(default)s)",
     )
-    made.add_argument(
+    parser.add_argument(
         "--fill",
         type=number_in_range(0, 3600, float),
         default=10.0,
         metavar="S",
-        help="seconds after the first registration until a list that began anew is told "
+        help="without a stored list: seconds after the first registration until reads are served "
         "(default %(default)s)",
     )
-    made.add_argument(
+    parser.add_argument(
         "--share",
         type=number_in_range(0.01, 1, float),
         default=0.2,
         metavar="PART",
-        help="part of the list that may run out within a minute; more is held (default %(default)s)",
+        help="share of the list that may be removed within a minute as leases expire; beyond it, removal is "
+        "held (default %(default)s)",
     )
-    return made
+    return parser
 
 
 class RefusedConnection(asyncio.Protocol):
-    """A connection beyond the bound, ended at once."""
+    """Aborts at once a connection beyond the maximum number of connections."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -117,7 +123,7 @@
 
 
 class Program:
-    """The parts of one list service."""
+    """Assembles, starts and stops one list service."""
 
     def __init__(self, listen: tuple[str, int], options: Options) -> None:
         self.listen_address, self.options = listen, options
@@ -135,6 +141,7 @@
         self.follower_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
+        """Starts to listen; raises StorageUnusable, OSError or ValueError if it cannot."""
         loop = asyncio.get_running_loop()
         await self.runner.setup()
         self.server = await loop.create_server(self.new_connection, *self.listen_address, backlog=BACKLOG)
@@ -144,16 +151,17 @@
         log.info("listening on %s:%d", *self.server.sockets[0].getsockname()[:2])
 
     def new_connection(self) -> asyncio.Protocol:
+        """The protocol of an accepted connection; at the limit, one that aborts it."""
         assert self.runner.server is not None
         if len(self.runner.server.connections) >= self.options.watchers + OTHER_CONNECTIONS:
             self.service.figures["connections refused"] += 1
             return RefusedConnection()
-        made = self.runner.server()
-        asyncio.get_running_loop().call_later(FIRST_REQUEST_TIMEOUT, self.api.abort_if_unused, made)
-        return made
+        connection = self.runner.server()
+        asyncio.get_running_loop().call_later(FIRST_REQUEST_TIMEOUT, self.api.abort_if_unused, connection)
+        return connection
 
     async def stop(self) -> None:
-        """No new connections; watches get their answer, writes under way are stored, the log is closed."""
+        """Stops accepting connections, answers all watches, stores writes in progress and closes the log."""
         if self.server is not None:
             self.server.close()
         self.service.end_watches()
@@ -165,12 +173,13 @@
 
 
 def raise_descriptor_limit() -> None:
-    """As many as the system allows: the usual soft limit of 1,024 is less than one fleet's connections."""
+    """Raises the soft limit on descriptors to the hard one: the usual 1,024 is too few for one fleet."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 async def run_until_signalled(listen: tuple[str, int], options: Options) -> None:
+    """Runs the service until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -184,12 +193,20 @@
 
 
 def main() -> int:
-    told = build_parser().parse_args()
+    """Runs the program and returns its exit status."""
+    arguments = build_parser().parse_args()
     logging.basicConfig(format="%(asctime)s %(name)s: %(message)s", level=logging.INFO)
     raise_descriptor_limit()
-    options = Options(told.data, told.follow, told.promote, told.watchers, told.fill, told.share)
+    options = Options(
+        arguments.data,
+        arguments.follow,
+        arguments.promote,
+        arguments.watchers,
+        arguments.fill,
+        arguments.share,
+    )
     try:
-        asyncio.run(run_until_signalled(told.listen, options))
+        asyncio.run(run_until_signalled(arguments.listen, options))
     except (StorageUnusable, OSError, ValueError) as error:
         print(f"embersill.directory: {error}", file=sys.stderr)
         return 1
