--- a/embersill/directory/__main__.py
+++ b/embersill/directory/__main__.py
@@ -59,7 +59,7 @@
     """The parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m embersill.directory",
-        description="Keeps the list of backends that gateways read. docs/directory.md has the HTTP interface.",
+        description="Keeps the list of backends that gateways read; docs/directory.md has the HTTP API.",
         epilog="Exit status: 0 after SIGTERM, 1 if it could not start or continue, 2 on invalid arguments.",
     )
     parser.add_argument(
--- a/embersill/directory/front.py
+++ b/embersill/directory/front.py
@@ -1,4 +1,4 @@
-"""The list over HTTP: reading in discovery's form, writing by id and version, and what staff ask."""
+"""The list service's HTTP API: reads and watches of gateways, writes of instances and operators, status."""
 
 from __future__ import annotations
 
@@ -31,17 +31,15 @@
 from embersill.directory.service import NotLeader, NotReady, Service, ServiceStopping, Write
 from embersill.directory.store import Condition, ConditionMissing, Conflict, InstanceState, UnknownInstance
 
-MAX_BODY_BYTES = 16 * 1024  # bytes: a registration has some hundred
-MAX_WAIT_MS = 60_000  # the protocol's
-MAX_GENERATION = 10**18  # a version further on is none: they are microseconds
-FIRST_REQUEST_TIMEOUT = 5.0  # seconds for a new connection to bring a whole call, or it is closed
-KEEPALIVE_TIMEOUT = 75.0  # seconds that a connection without a call is kept: over the longest wait
-WRITE_TIMEOUT = 10.0  # seconds for a reader to take its answer
-WRITE_RETRY_AFTER = 5  # seconds told to a writer whose write could not be stored
-MAX_WINDOW_LINES, LOG_WINDOW = (
-    10,
-    10.0,
-)  # lines about refused calls in so many seconds: a broken client sends thousands
+MAX_BODY_BYTES = 16 * 1024  # a registration has a few hundred
+MAX_WAIT_MS = 60_000  # as in the discovery protocol
+MAX_GENERATION = 10**18  # generations are microseconds; a larger one is invalid
+FIRST_REQUEST_TIMEOUT = 5.0  # seconds until a new connection must have sent a complete request
+KEEPALIVE_TIMEOUT = 75.0  # seconds that an idle connection stays open; longer than the longest wait
+WRITE_TIMEOUT = 10.0  # seconds for a client to read its answer
+WRITE_RETRY_AFTER = 5  # seconds sent to a writer whose write could not be stored
+# Log lines about refused requests, per so many seconds: a faulty client may send thousands of requests.
+MAX_WINDOW_LINES, LOG_WINDOW = 10, 10.0
 
 log = logging.getLogger("embersill.directory")
 
@@ -49,13 +47,14 @@
 
 
 class RateLimitedLog:
-    """Lines at a bounded rate; what was left out is counted and told with the next."""
+    """Logs warnings at a limited rate; the number of dropped ones is logged with the next."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.window_ends_at, self.window_lines, self.dropped_lines = clock(), 0, 0
 
     def warn(self, text: str) -> None:
+        """Logs the text, or counts it as dropped."""
         now = self.clock()
         if now >= self.window_ends_at:
             self.window_ends_at, self.window_lines = now + LOG_WINDOW, 0
@@ -68,11 +67,11 @@
 
 
 class LibraryLogFilter(logging.Filter):
-    """What the HTTP library has to say of a broken call: without its trace, and at the same bounded rate."""
+    """Logs the HTTP library's lines about malformed requests without stack traces and at a limited rate."""
 
-    def __init__(self, lines: RateLimitedLog) -> None:
+    def __init__(self, rate_limited_log: RateLimitedLog) -> None:
         super().__init__()
-        self.rate_limited_log = lines
+        self.rate_limited_log = rate_limited_log
 
     def filter(self, record: logging.LogRecord) -> bool:
         cause = record.exc_info[1] if record.exc_info else None
@@ -82,25 +81,28 @@
 
 
 def json_response(status: int, content: Any, headers: Mapping[str, str] | None = None) -> web.Response:
+    """A response with this JSON body; bytes are sent as they are."""
     body = content if isinstance(content, bytes) else json.dumps(content, separators=(",", ":")).encode()
     return web.Response(status=status, body=body, content_type="application/json", headers=headers)
 
 
 def error_response(status: int, why: str, **headers: str) -> web.Response:
+    """A refusal with its reason; a header's name has `_` for `-`."""
     return json_response(status, {"error": why}, {k.replace("_", "-"): v for k, v in headers.items()})
 
 
-def read_query_integer(query: Mapping[str, str], name: str, most: int) -> int | None:
+def read_query_integer(query: Mapping[str, str], name: str, high: int) -> int | None:
+    """A query parameter from 0 to high; None if it is absent."""
     value = query.get(name)
     if value is None:
         return None
-    if not (value.isascii() and value.isdecimal() and len(value) <= 19 and int(value) <= most):
-        raise InvalidFormat(f"{name} is no whole number from 0 to {most}")
+    if not (value.isascii() and value.isdecimal() and len(value) <= 19 and int(value) <= high):
+        raise InvalidFormat(f"{name} is no whole number from 0 to {high}")
     return int(value)
 
 
 def read_condition(headers: Mapping[str, str]) -> Condition:
-    """What a write rests on: the id's version, that it is not there, and maybe the whole list's version."""
+    """The condition of a write, from If-Match or If-None-Match and List-Match."""
     of_list = headers.get("List-Match")
     return replace(
         read_version_condition(headers),
@@ -109,6 +111,7 @@
 
 
 def parse_version(text: str, name: str) -> int:
+    """The number in a header's quoted version; `name` is the header's, for the error."""
     bare = text.strip()
     digits = bare[1:-1]
     if not (bare[:1] == bare[-1:] == '"' and digits.isascii() and digits.isdecimal() and len(digits) <= 19):
@@ -117,6 +120,7 @@
 
 
 def read_version_condition(headers: Mapping[str, str]) -> Condition:
+    """The part of the condition in If-Match or If-None-Match."""
     match, none = headers.get("If-Match"), headers.get("If-None-Match")
     if match is not None and none is not None:
         raise InvalidFormat("If-Match and If-None-Match exclude each other")
@@ -128,22 +132,21 @@
 
 
 def abort_if_unread(transport: asyncio.BaseTransport) -> None:
-    """A reader that does not take its answer holds the memory of it."""
+    """Aborts a connection whose client has not read its answer, to free the memory of the answer."""
     if isinstance(transport, asyncio.Transport) and transport.get_write_buffer_size():
         transport.abort()
 
 
 class ListApi:
-    """The calls, each a method; what a call is refused for is answered in one place."""
+    """The requests, each a method; errors become answers in handle_errors."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
         self.refusal_log = RateLimitedLog(service.clock)
-        self.library_log = logging.Logger("aiohttp")  # this service's own, not the process's
+        self.library_log = logging.Logger("aiohttp")  # not the process-wide logger of this name
         self.library_log.addFilter(LibraryLogFilter(self.refusal_log))
-        self.used_connections: WeakSet[asyncio.BaseTransport] = (
-            WeakSet()
-        )  # connections that brought a whole call
+        # Connections that have sent a complete request.
+        self.used_connections: WeakSet[asyncio.BaseTransport] = WeakSet()
         self.app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self.handle_errors])
         self.app.add_routes(
             [
@@ -164,10 +167,11 @@
             ]
         )
 
-    # what every call goes through
+    # around every request
 
     @web.middleware
     async def handle_errors(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+        """Turns errors into answers, logs them, and limits the time for reading the answer."""
         if request.transport is not None:
             self.used_connections.add(request.transport)
         try:
@@ -186,13 +190,13 @@
         return response
 
     def abort_if_unused(self, connection: asyncio.BaseProtocol) -> None:
-        """A connection that brought no whole call in its time holds a descriptor for nothing."""
+        """Aborts a connection without a complete request so far, to free its descriptor."""
         transport = getattr(connection, "transport", None)
         if isinstance(transport, asyncio.Transport) and transport not in self.used_connections:
             transport.abort()
 
     def response_to_error(self, error: Exception) -> web.Response:
-        """Every refusal with its reason; an error of this program's own is logged and told as such."""
+        """The answer to an error, with its reason; an unexpected error is logged and answered with 500."""
         waits = {"Retry_After": str(self.service.retry_after())}
         match error:
             case InvalidFormat():
@@ -217,16 +221,18 @@
                 return error_response(413, f"the body is over {MAX_BODY_BYTES} bytes", Connection="close")
             case web.HTTPException():
                 return error_response(error.status, error.reason)
-        log.error("a call went wrong", exc_info=error)
+        log.error("unexpected error in a request", exc_info=error)
         return error_response(500, "an error of the list service itself; its log has more")
 
     def error_text(self, response: web.Response) -> str:
+        """The beginning of an error's body, for the log."""
         body = response.body
         return body[:300].decode() if isinstance(body, bytes) else ""
 
     # reading
 
     async def endpoints(self, request: web.Request) -> web.Response:
+        """The list, or the changes after `since`; waits for changes up to `timeout_ms`."""
         since = read_query_integer(request.query, "since", MAX_GENERATION)
         wait_ms = read_query_integer(request.query, "timeout_ms", MAX_WAIT_MS)
         self.service.figures["watches" if since is not None and wait_ms else "reads"] += 1
@@ -235,13 +241,14 @@
         return json_response(200, body, self.role_headers())
 
     def role_headers(self) -> dict[str, str]:
-        """Told beside the list: whether this is the leader's, and how long a copy has not heard of it."""
+        """Headers beside the list: the role, and a follower's lag behind its leader in seconds."""
         lag = self.service.lag()
         if self.service.leader is None:
             return {"Directory-Role": "leader"}
         return {"Directory-Role": "follower"} | ({"Directory-Lag": f"{lag:.1f}"} if lag is not None else {})
 
     async def changes(self, request: web.Request) -> web.Response:
+        """The records after a generation, for a follower."""
         after = read_query_integer(request.query, "after", MAX_GENERATION)
         if after is None:
             raise InvalidFormat("after is missing")
@@ -249,11 +256,13 @@
         return json_response(200, await self.service.changes(after, (wait_ms or 0) / 1000.0))
 
     async def instances(self, request: web.Request) -> web.Response:
+        """All instances with versions, leases and drains."""
         states = self.service.store.states
         shown = [self.describe(id, s) for id, s in states.items() if s.entry is not None]
         return json_response(200, {"generation": self.service.store.generation, "instances": shown})
 
     async def instance(self, request: web.Request) -> web.Response:
+        """One instance, as in instances()."""
         id = self.instance_id(request)
         state = self.service.store.states.get(id)
         if state is None or state.entry is None:
@@ -261,13 +270,14 @@
         return self.state_response(200, id, state)
 
     def describe(self, id: str, state: InstanceState) -> dict[str, Any]:
+        """An instance as writers and operators read it; the remaining lease is known to the leader only."""
         shown = entry_to_json(id, state.entry, state.drain) | {"version": state.version}
         if state.entry is not None:
-            left = self.service.leases.remaining(id, self.service.clock())
+            remaining = self.service.leases.remaining(id, self.service.clock())
             shown |= {
                 "process": state.entry.process,
                 "leaseMs": state.entry.lease_ms,
-                "leaseLeftMs": round(left * 1000) if self.service.leader is None else None,
+                "leaseLeftMs": round(remaining * 1000) if self.service.leader is None else None,
                 "ownLifecycle": state.entry.lifecycle,
             }
         if state.drain is not None:
@@ -275,11 +285,13 @@
         return shown
 
     def state_response(self, status: int, id: str, state: InstanceState | None) -> web.Response:
+        """The state of an id with its version as ETag; without a state, a deleted instance."""
         if state is None:
             return json_response(200, {"instanceId": id, "lifecycle": "DELETED"})
         return json_response(status, self.describe(id, state), {"ETag": f'"{state.version}"'})
 
     async def drains(self, request: web.Request) -> web.Response:
+        """All ids with an operator's drain."""
         states = self.service.store.states
         return json_response(
             200,
@@ -292,31 +304,36 @@
     # writing
 
     def instance_id(self, request: web.Request) -> str:
+        """The id in the path, checked."""
         return read_name(request.match_info["id"], "the instance's id")
 
     async def json_body(self, request: web.Request) -> dict[str, Any]:
+        """The request's body, a JSON object."""
         return read_json(await request.read())
 
-    async def write(self, id: str, write: Write, line: str) -> web.Response:
+    async def write(self, id: str, write: Write, event: str) -> web.Response:
+        """Carries out a write, counts it, logs its event if it changed anything, and answers."""
         done = await self.service.write(write)
         if done.changed:
-            log.info("%s %s, generation %d", id, line, self.service.store.generation)
+            log.info("%s %s, generation %d", id, event, self.service.store.generation)
         self.service.figures["writes" if done.changed else "writes repeated"] += 1
         return self.state_response(201 if done.created else 200, id, done.state)
 
     async def register(self, request: web.Request) -> web.Response:
+        """Registers an instance, or a new process of it, and starts its lease."""
         id, condition = self.instance_id(request), read_condition(request.headers)
-        told = read_registration(await self.json_body(request), int(self.service.wall() * 1000))
-        entry = told.entry
+        registration = read_registration(await self.json_body(request), int(self.service.wall() * 1000))
+        entry = registration.entry
         response = await self.write(
             id,
-            lambda draft: draft.register(id, told, condition),
+            lambda draft: draft.register(id, registration, condition),
             f"registered at {entry.host_port} by process {entry.process}",
         )
         self.service.extend_lease(id, entry.lease_ms)
         return response
 
     async def renew(self, request: web.Request) -> web.Response:
+        """Renews the lease that a process holds."""
         id, body = self.instance_id(request), await self.json_body(request)
         reject_unknown_fields(body, "process")
         return self.state_response(
@@ -324,6 +341,7 @@
         )
 
     async def set_lifecycle(self, request: web.Request) -> web.Response:
+        """Sets the lifecycle that an instance reports of itself."""
         id, condition, body = (
             self.instance_id(request),
             read_condition(request.headers),
@@ -335,10 +353,11 @@
         return await self.write(
             id,
             lambda draft: draft.set_lifecycle(id, process, lifecycle, condition),
-            f"is {lifecycle} by its own word",
+            f"is {lifecycle}, as the instance reports",
         )
 
     async def drain(self, request: web.Request) -> web.Response:
+        """Sets an operator's drain."""
         id, condition, body = (
             self.instance_id(request),
             read_condition(request.headers),
@@ -351,24 +370,29 @@
         )
 
     async def lift_drain(self, request: web.Request) -> web.Response:
+        """Lifts an operator's drain."""
         id, condition = self.instance_id(request), read_condition(request.headers)
         return await self.write(
-            id, lambda draft: draft.lift_drain(id, condition), "is no longer drained by staff"
+            id, lambda draft: draft.lift_drain(id, condition), "is no longer drained by an operator"
         )
 
     async def remove(self, request: web.Request) -> web.Response:
+        """Removes an instance."""
         id, condition = self.instance_id(request), read_condition(request.headers)
         return await self.write(id, lambda draft: draft.remove(id, condition), "is removed")
 
     async def resume_removal(self, request: web.Request) -> web.Response:
+        """Ends a hold on the removal of expired instances."""
         return json_response(200, {"removed": await self.service.resume_removal()})
 
     # health
 
     async def status(self, request: web.Request) -> web.Response:
+        """The service's state and counts."""
         return json_response(200, self.service.status())
 
     async def ready(self, request: web.Request) -> web.Response:
+        """Whether reads are served; 503 with the reason otherwise."""
         status = self.service.status()
         if not status["ready"]:
             return error_response(503, status["why"], Retry_After=str(self.service.retry_after()))
