--- a/tests/lists.py
+++ b/tests/lists.py
@@ -1,4 +1,4 @@
-"""The list service for tests: in the test's own loop, or as a process of its own."""
+"""The list service for tests, in the test's event loop or as a separate process, and a client for it."""
 
 from __future__ import annotations
 
@@ -24,6 +24,8 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
+    """Runs a test in a new event loop, with a time limit."""
+
     async def bounded() -> None:
         async with asyncio.timeout(6 * SOON):
             await test()
@@ -32,7 +34,7 @@
 
 
 class ListClient:
-    """Calls one list service."""
+    """Sends requests to one list service."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
         self.session, self.address = session, address
@@ -46,33 +48,38 @@
         absent: bool = False,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, Any, dict[str, str]]:
-        sent = dict(headers or {})
+        """Status, JSON body and headers (names in lower case) of the answer.
+
+        `match` is the version for If-Match, `absent` sends If-None-Match: *.
+        """
+        all_headers = dict(headers or {})
         if match is not None:
-            sent["If-Match"] = f'"{match}"'
+            all_headers["If-Match"] = f'"{match}"'
         if absent:
-            sent["If-None-Match"] = "*"
+            all_headers["If-None-Match"] = "*"
         data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
         async with self.session.request(
             method,
             f"http://{self.address}{path}",
             data=data,
-            headers=sent,
+            headers=all_headers,
         ) as answer:
             content = await answer.read()
-            told = json.loads(content) if content else None
-            return answer.status, told, {k.lower(): v for k, v in answer.headers.items()}
+            result = json.loads(content) if content else None
+            return answer.status, result, {k.lower(): v for k, v in answer.headers.items()}
 
     async def register(self, id: str, host_port: str = "127.0.0.1:80", process: str = "", **more: Any) -> int:
-        """Registers, in the place of what is there if anything is; the version."""
+        """Registers an instance, or replaces the one of this id; the new version."""
         status, shown, _ = await self.call("GET", f"/v1/instances/{id}")
-        at = {"match": shown["version"]} if status == 200 else {"absent": True}
+        condition = {"match": shown["version"]} if status == 200 else {"absent": True}
         body = {"hostPort": host_port, "process": process or f"p-{id}", **more}
-        status, shown, _ = await self.call("PUT", f"/v1/instances/{id}", body, **at)
+        status, shown, _ = await self.call("PUT", f"/v1/instances/{id}", body, **condition)
         assert status in (200, 201), shown
         version: int = shown["version"]
         return version
 
     async def drain(self, id: str, by: str = "ann") -> int:
+        """Sets an operator's drain; the new version."""
         _, shown, _ = await self.call("GET", f"/v1/instances/{id}")
         status, shown, _ = await self.call(
             "PUT", f"/v1/instances/{id}/drain", {"by": by}, match=shown["version"]
@@ -82,22 +89,24 @@
         return version
 
     async def list(self, since: int | None = None, wait_ms: int = 0) -> Any:
+        """The list, or the changes since a generation, as JSON."""
         query = f"?since={since}&timeout_ms={wait_ms}" if since is not None else ""
-        status, told, _ = await self.call("GET", f"/v1/endpoints{query}")
-        assert status == 200, told
-        return told
+        status, content, _ = await self.call("GET", f"/v1/endpoints{query}")
+        assert status == 200, content
+        return content
 
-    async def wait_for_status(self, done: Callable[[Any], bool]) -> Any:
-        """The status, once it is as wanted."""
+    async def wait_for_status(self, condition: Callable[[Any], bool]) -> Any:
+        """Polls the service's status until it satisfies the condition, and returns it."""
         async with asyncio.timeout(SOON):
             while True:
                 _, status, _ = await self.call("GET", "/v1/status")
-                if done(status):
+                if condition(status):
                     return status
                 await asyncio.sleep(0.01)
 
 
 def client_session(address: str) -> aiohttp.ClientSession:
+    """A session without a limit on connections."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0), timeout=aiohttp.ClientTimeout(total=3 * SOON)
     )
@@ -105,7 +114,7 @@
 
 @asynccontextmanager
 async def served(folder: pathlib.Path, **options: Any) -> AsyncIterator[tuple[Program, ListClient]]:
-    """The service in this loop; a list begun anew is told at once unless the test asks otherwise."""
+    """Runs the service in this loop; a new list is readable at once unless the options say otherwise."""
     program = Program((HOST, 0), Options(folder, **{"fill": 0.0, **options}))
     try:
         await program.start()
@@ -118,7 +127,7 @@
 
 
 class Process:
-    """The service as a process of its own, its log kept as it comes."""
+    """The service as a separate process; its log lines so far are in `lines`."""
 
     def __init__(self, folder: pathlib.Path, *options: str, port: int = 0) -> None:
         self.folder, self.options, self.port = folder, options, port
@@ -126,6 +135,7 @@
         self.child: asyncio.subprocess.Process
 
     async def start(self) -> None:
+        """Starts the process and waits until it listens."""
         self.child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -148,19 +158,20 @@
     def address(self) -> str:
         return f"{HOST}:{self.port}"
 
-    async def wait_for_log(self, form: str) -> re.Match[str]:
-        """The next line of the log that has this in it."""
+    async def wait_for_log(self, pattern: str) -> re.Match[str]:
+        """Reads log lines up to one that matches the pattern; the match."""
         assert self.child.stderr is not None
         async with asyncio.timeout(SOON):
             while True:
                 line = (await self.child.stderr.readline()).decode()
-                assert line, f"ended without {form!r}: {self.lines}"
+                assert line, f"ended without {pattern!r}: {self.lines}"
                 self.lines.append(line)
-                found = re.search(form, line)
+                found = re.search(pattern, line)
                 if found:
                     return found
 
     async def kill(self, number: int = signal.SIGKILL) -> int:
+        """Ends the process with a signal, SIGKILL unless given, and returns its exit code."""
         if self.child.returncode is None:
             self.child.send_signal(number)
         _, rest = await self.child.communicate()
@@ -173,10 +184,11 @@
 async def process(
     folder: pathlib.Path, *options: str, port: int = 0
 ) -> AsyncIterator[tuple[Process, ListClient]]:
-    made = Process(folder, *options, port=port)
+    """Runs the service as a process and kills it at the end."""
+    service = Process(folder, *options, port=port)
     try:
-        await made.start()
-        async with client_session(made.address) as session:
-            yield made, ListClient(session, made.address)
+        await service.start()
+        async with client_session(service.address) as session:
+            yield service, ListClient(session, service.address)
     finally:
-        await made.kill()
+        await service.kill()
--- a/tests/measure_list.py
+++ b/tests/measure_list.py
@@ -1,6 +1,6 @@
-"""Measures the list service with the gateway's own client, on bounded loops: python -m tests.measure_list
+"""Measures the list service with the gateway's discovery client: python -m tests.measure_list
 
-Not a test: nothing here passes or fails. The figures go to docs/directory.md with day and number of plays.
+Not a test: nothing here passes or fails. The figures go to docs/directory.md with the day and repetitions.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class Watchers:
-    """As many gateways' clients as the fleet has, in this process."""
+    """The discovery clients of a fleet of gateways, in this process."""
 
     def __init__(self, addresses: list[str], many: int = FLEET_SIZE) -> None:
         self.generations = [0] * many
         self.changed = asyncio.Condition()
         self.called: list[float] = []
-        seeds = random.Random()  # another for each play, as for each start of a gateway
+        seeds = random.Random()  # different in each repetition, as in each start of a gateway
         self.clients = [
             Discovery(
                 [read_address(a) for a in addresses],
@@ -52,19 +52,24 @@
         self.tasks = [asyncio.create_task(made.run()) for made in self.clients]
 
     def record_generation(self, number: int) -> Callable[[Listing], None]:
-        def tell(listing: Listing) -> None:
+        """A callback that records the generation that a client has."""
+
+        def record(listing: Listing) -> None:
             self.generations[number] = listing.generation
 
-        return tell
+        return record
 
     def record_call_time(self, call: Call) -> Call:
-        async def made() -> Listing:
+        """A call that also records when it is made."""
+
+        async def timed_call() -> Listing:
             self.called.append(time.monotonic())
             return await call()
 
-        return made
+        return timed_call
 
     async def until(self, generation: int) -> None:
+        """Waits until all clients have this generation."""
         while min(self.generations) < generation:
             await asyncio.sleep(0.0005)
 
@@ -74,9 +79,9 @@
             made.drop()
 
 
-async def fill(calls: ListClient, many: int = FLEET_SIZE) -> None:
-    for number in range(many):
-        await calls.register(
+async def register_fleet(list_client: ListClient, count: int = FLEET_SIZE) -> None:
+    for number in range(count):
+        await list_client.register(
             f"s-{number:08x}",
             f"10.1.0.{number % 250}:5000",
             zone="room-a",
@@ -86,15 +91,15 @@
 
 
 async def change_delivery(folder: pathlib.Path) -> str:
-    """From a write's answer to the last watcher told."""
-    async with process(folder) as (made, calls):
-        await fill(calls)
+    """The time from a write's answer until the last watcher has the change."""
+    async with process(folder) as (made, list_client):
+        await register_fleet(list_client)
         watchers = Watchers([made.address])
-        await watchers.until((await calls.list())["generation"])
+        await watchers.until((await list_client.list())["generation"])
         took = []
         for number in range(WRITES):
-            await calls.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
-            generation = await calls.drain(f"s-{number:08x}")
+            await list_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+            generation = await list_client.drain(f"s-{number:08x}")
             answered = time.monotonic()
             await watchers.until(generation)
             took.append(time.monotonic() - answered)
@@ -105,20 +110,20 @@
 
 
 async def replacement(folder: pathlib.Path) -> str:
-    """All instances replaced, ten at a time: calls and bytes, and what whole lists would have cost."""
-    async with process(folder) as (made, calls):
-        await fill(calls)
+    """Requests and bytes while all instances are replaced, ten at a time, and the bytes with full lists."""
+    async with process(folder) as (made, list_client):
+        await register_fleet(list_client)
         watchers = Watchers([made.address])
-        await watchers.until((await calls.list())["generation"])
-        await calls.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
-        before = (await calls.wait_for_status(lambda s: True))["figures"]
+        await watchers.until((await list_client.list())["generation"])
+        await list_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        before = (await list_client.wait_for_status(lambda s: True))["figures"]
         for first in range(0, FLEET_SIZE, 10):
-            await asyncio.gather(*(replace(calls, n) for n in range(first, first + 10)))
+            await asyncio.gather(*(replace(list_client, n) for n in range(first, first + 10)))
             await asyncio.sleep(0.1)
-        await watchers.until((await calls.list())["generation"])
-        await calls.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
-        after = (await calls.wait_for_status(lambda s: True))["figures"]
-        size = len(str(await calls.list()))
+        await watchers.until((await list_client.list())["generation"])
+        await list_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        after = (await list_client.wait_for_status(lambda s: True))["figures"]
+        size = len(str(await list_client.list()))
         watchers.end()
     asked = after["watches"] - before["watches"]
     told, changed = after["bytes told"] - before["bytes told"], after["writes"] - before["writes"]
@@ -128,28 +133,28 @@
     )
 
 
-async def replace(calls: ListClient, number: int) -> None:
-    """The old one says that it drains and leaves, and a new one comes."""
+async def replace(list_client: ListClient, number: int) -> None:
+    """The old instance reports that it drains, a new one registers, and the old one is removed."""
     old = f"s-{number:08x}"
-    _, shown, _ = await calls.call("GET", f"/v1/instances/{old}")
-    _, shown, _ = await calls.call(
+    _, shown, _ = await list_client.call("GET", f"/v1/instances/{old}")
+    _, shown, _ = await list_client.call(
         "PUT",
         f"/v1/instances/{old}/lifecycle",
         {"process": f"p-{old}", "lifecycle": "DRAINING"},
         match=shown["version"],
     )
-    await calls.register(
+    await list_client.register(
         f"s-{number + FLEET_SIZE:08x}",
         f"10.2.0.{number % 250}:5000",
         zone="room-a",
         machineType="standard-3core",
         leaseMs=600_000,
     )
-    await calls.call("DELETE", f"/v1/instances/{old}", match=shown["version"])
+    await list_client.call("DELETE", f"/v1/instances/{old}", match=shown["version"])
 
 
 async def recovery(folder: pathlib.Path) -> str:
-    """From the start of the process until it listens, with a log of 20,000 batches."""
+    """The time from the start of the process until it listens, with a log of 20,000 batches."""
     log = Log(folder, compact_at=2**40)
     for number in range(20_000):
         id = f"s-{number % FLEET_SIZE:08x}"
@@ -173,7 +178,7 @@
 
 
 async def joint_return(folder: pathlib.Path, jitter: float) -> str:
-    """The service is killed and is away for five seconds: how its readers come back."""
+    """How the watchers return after the service was killed and down for five seconds."""
     client.JITTER, before = jitter, client.JITTER
     try:
         return f"joint return, jitter {jitter}: {await come_back(folder)}"
@@ -184,42 +189,45 @@
 async def come_back(folder: pathlib.Path) -> str:
     made = Process(folder)
     await made.start()
-    async with process(folder.with_name("other")) as (_, calls):
-        calls.address = made.address
-        await fill(calls)
+    async with process(folder.with_name("other")) as (_, list_client):
+        list_client.address = made.address
+        await register_fleet(list_client)
         watchers = Watchers([made.address])
-        await watchers.until((await calls.list())["generation"])
+        await watchers.until((await list_client.list())["generation"])
         await made.kill(signal.SIGKILL)
         await asyncio.sleep(5.0)
         again = Process(folder, port=made.port)
         await again.start()
-        up = time.monotonic()
-        generation = (await calls.list())["generation"]
+        restarted_at = time.monotonic()
+        generation = (await list_client.list())["generation"]
         await watchers.until(generation)
-        took = time.monotonic() - up
+        took = time.monotonic() - restarted_at
         watchers.end()
         await again.kill()
-    after = [t for t in watchers.called if t >= up]
+    after = [t for t in watchers.called if t >= restarted_at]
     most = max(sum(t <= other < t + 0.1 for other in after) for t in after)
     return f"at most {most} calls in 0.1 s, all told after {took:.1f} s"
 
 
 async def fail_over(folder: pathlib.Path) -> str:
-    """The leader is killed: how its readers come to the follower."""
+    """How the watchers turn to the follower after the leader was killed."""
     async with (
-        process(folder) as (leader, calls),
-        process(folder.with_name("copy"), "--follow", leader.address) as (follower, copy),
+        process(folder) as (leader, list_client),
+        process(folder.with_name("copy"), "--follow", leader.address) as (
+            follower,
+            follower_client,
+        ),
     ):
-        await fill(calls)
+        await register_fleet(list_client)
         watchers = Watchers([leader.address, follower.address])
-        generation = (await calls.list())["generation"]
+        generation = (await list_client.list())["generation"]
         await watchers.until(generation)
-        await copy.wait_for_status(lambda s: s["generation"] == generation)
+        await follower_client.wait_for_status(lambda s: s["generation"] == generation)
         watchers.called.clear()
-        gone = time.monotonic()
+        killed_at = time.monotonic()
         await leader.kill(signal.SIGKILL)
-        await copy.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
-        took = time.monotonic() - gone
+        await follower_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        took = time.monotonic() - killed_at
         watchers.end()
     most = max(sum(t <= other < t + 0.1 for other in watchers.called) for t in watchers.called)
     return f"fail-over: at most {most} calls in 0.1 s, all watch again after {took:.1f} s"
--- a/tests/test_directory_store.py
+++ b/tests/test_directory_store.py
@@ -1,4 +1,4 @@
-"""The list's pure parts: versions, generations, what readers are told, drains, leases on a scripted clock."""
+"""The list in memory: versions, generations, changes for readers, drains, leases with a scripted clock."""
 
 from __future__ import annotations
 
@@ -33,183 +33,190 @@
 ABSENT = Condition(must_be_absent=True)
 
 
-def process(name: str, port: int = 80, started: int | None = None) -> Registration:
+def registration(name: str, port: int = 80, started: int | None = None) -> Registration:
+    """The registration of a process, with a start time in milliseconds if given."""
     body: dict[str, object] = {"hostPort": f"127.0.0.1:{port}", "process": name}
     if started is not None:
         body["startedAtMs"] = started
     return read_registration(body, NOW // 1000)
 
 
-def does(store: Store, write: Callable[[Draft], WriteResult], now: int = NOW) -> WriteResult:
+def apply_write(store: Store, write: Callable[[Draft], WriteResult], now: int = NOW) -> WriteResult:
+    """Makes one write in a batch of its own and applies it."""
     draft = Draft(store, now)
     done = write(draft)
     store.apply(draft.records)
     return done
 
 
-def begun(history: int = 4096, now: int = NOW) -> Store:
+def new_store(history: int = 4096, now: int = NOW) -> Store:
+    """A store with the start record of a leader."""
     store = Store(history)
-    starts(store, now)
+    add_start(store, now)
     return store
 
 
-def starts(store: Store, now: int = NOW) -> None:
+def add_start(store: Store, now: int = NOW) -> None:
     draft = Draft(store, now)
     draft.add_start_record()
     store.apply(draft.records)
 
 
-def registered(store: Store, id: str = "a", name: str = "p1", now: int = NOW) -> InstanceState:
-    state = does(store, lambda d: d.register(id, process(name), ABSENT), now).state
+def register(store: Store, id: str = "a", name: str = "p1", now: int = NOW) -> InstanceState:
+    state = apply_write(store, lambda d: d.register(id, registration(name), ABSENT), now).state
     assert state is not None
     return state
 
 
-def lifecycles(store: Store) -> dict[str, str]:
+def listed_lifecycles(store: Store) -> dict[str, str]:
     return {e["instanceId"]: e["lifecycle"] for e in store.entries()}
 
 
-# versions and repeats
+# versions and repeated writes
 
 
 def test_a_repeated_registration_changes_nothing_and_a_second_one_conflicts() -> None:
-    store = begun()
-    first = does(store, lambda d: d.register("a", process("p1"), ABSENT))
-    again = does(store, lambda d: d.register("a", process("p1"), ABSENT))
+    store = new_store()
+    first = apply_write(store, lambda d: d.register("a", registration("p1"), ABSENT))
+    again = apply_write(store, lambda d: d.register("a", registration("p1"), ABSENT))
     assert first.created and not again.changed and again.state == first.state
     with pytest.raises(Conflict):
-        does(store, lambda d: d.register("a", process("p2"), ABSENT))
+        apply_write(store, lambda d: d.register("a", registration("p2"), ABSENT))
     with pytest.raises(ConditionMissing):
-        does(store, lambda d: d.register("a", process("p2"), Condition()))
+        apply_write(store, lambda d: d.register("a", registration("p2"), Condition()))
     with pytest.raises(Conflict):
-        does(store, lambda d: d.register("b", process("p2"), Condition(version=7)))
+        apply_write(store, lambda d: d.register("b", registration("p2"), Condition(version=7)))
 
 
-def test_of_two_writes_on_one_version_the_second_conflicts_also_in_one_batch() -> None:
-    store = begun()
-    at = Condition(version=registered(store).version)
+def test_of_two_writes_to_one_version_the_second_conflicts_even_in_one_batch() -> None:
+    store = new_store()
+    at = Condition(version=register(store).version)
     draft = Draft(store, NOW)
     assert draft.drain("a", "ann", "", at).changed
     with pytest.raises(Conflict):
         draft.remove("a", at)
     store.apply(draft.records)
-    assert lifecycles(store) == {"a": "DRAINING"}
+    assert listed_lifecycles(store) == {"a": "DRAINING"}
 
 
-def test_a_restart_under_the_same_id_starts_later_whatever_the_clock_says() -> None:
-    store = begun()
-    state = registered(store)
+def test_a_replacing_process_gets_a_later_start_time_even_if_the_clock_went_back() -> None:
+    store = new_store()
+    state = register(store)
     assert state.entry is not None
-    done = does(
-        store, lambda d: d.register("a", process("p2"), Condition(version=state.version)), NOW - 10**9
+    done = apply_write(
+        store, lambda d: d.register("a", registration("p2"), Condition(version=state.version)), NOW - 10**9
     )
     assert done.state and done.state.entry and done.state.entry.started_ms == state.entry.started_ms + 1
-    assert done.state.version == state.version + 1  # nor do numbers go back with the clock
+    assert done.state.version == state.version + 1  # nor do generations go back with the clock
 
 
-def test_what_a_replaced_process_sends_late_revives_nothing() -> None:
-    store = begun()
-    old = registered(store)
-    new = does(store, lambda d: d.register("a", process("p2"), Condition(version=old.version))).state
+def test_late_writes_of_a_replaced_process_are_refused() -> None:
+    store = new_store()
+    old = register(store)
+    new = apply_write(
+        store, lambda d: d.register("a", registration("p2"), Condition(version=old.version))
+    ).state
     assert new is not None
     for late in (
         lambda d: d.renew("a", "p1"),
         lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition(new.version)),
-        lambda d: d.register("a", process("p1"), Condition(version=new.version)),
-        lambda d: d.register("a", process("p0", started=5), Condition(version=new.version)),
+        lambda d: d.register("a", registration("p1"), Condition(version=new.version)),
+        lambda d: d.register("a", registration("p0", started=5), Condition(version=new.version)),
     ):
         with pytest.raises(Conflict):
-            does(store, late)
-    does(store, lambda d: d.remove("a", Condition(version=new.version)))
+            apply_write(store, late)
+    apply_write(store, lambda d: d.remove("a", Condition(version=new.version)))
     with pytest.raises(UnknownInstance):
-        does(store, lambda d: d.renew("a", "p2"))
+        apply_write(store, lambda d: d.renew("a", "p2"))
     assert not store.entries()
 
 
-def test_a_repeated_removal_is_answered_and_one_of_an_id_never_seen_is_not() -> None:
-    store = begun()
-    at = Condition(version=registered(store).version)
-    assert does(store, lambda d: d.remove("a", at)).changed
-    assert not does(store, lambda d: d.remove("a", at)).changed
+def test_a_repeated_removal_succeeds_and_one_of_an_unknown_id_is_refused() -> None:
+    store = new_store()
+    at = Condition(version=register(store).version)
+    assert apply_write(store, lambda d: d.remove("a", at)).changed
+    assert not apply_write(store, lambda d: d.remove("a", at)).changed
     with pytest.raises(UnknownInstance):
-        does(store, lambda d: d.remove("b", at))
+        apply_write(store, lambda d: d.remove("b", at))
 
 
-def test_staffs_drain_outlives_registration_expiry_and_the_snapshot() -> None:
-    store = begun()
-    at = Condition(version=registered(store).version)
-    drained = does(store, lambda d: d.drain("a", "ann", "disk", at)).state
+def test_an_operators_drain_outlives_registration_expiry_and_snapshot() -> None:
+    store = new_store()
+    at = Condition(version=register(store).version)
+    drained = apply_write(store, lambda d: d.drain("a", "ann", "disk", at)).state
     assert drained is not None
-    assert not does(
+    assert not apply_write(
         store, lambda d: d.drain("a", "ann", "disk", at)
     ).changed  # a repeat, with the old version
     with pytest.raises(Conflict):
-        does(store, lambda d: d.drain("a", "bob", "", at))
-    does(store, lambda d: d.register("a", process("p2"), Condition(version=drained.version)))
-    assert lifecycles(store) == {"a": "DRAINING"}
-    does(store, lambda d: d.expire("a"))
+        apply_write(store, lambda d: d.drain("a", "bob", "", at))
+    apply_write(store, lambda d: d.register("a", registration("p2"), Condition(version=drained.version)))
+    assert listed_lifecycles(store) == {"a": "DRAINING"}
+    apply_write(store, lambda d: d.expire("a"))
     assert not store.entries()
     store = Store.from_json(json.loads(json.dumps(store.to_json())))
-    starts(store)
-    registered(store, "a", "p3")
-    assert lifecycles(store) == {"a": "DRAINING"}
-    lifted = does(store, lambda d: d.lift_drain("a", Condition(version=store.states["a"].version)))
-    assert lifted.changed and lifecycles(store) == {"a": "SERVING"}
-    assert not does(store, lambda d: d.lift_drain("a", Condition(version=1))).changed
-
-
-def test_lifting_a_drain_leaves_what_the_instance_says_of_itself() -> None:
-    store = begun()
-    does(store, lambda d: d.drain("a", "ann", "", Condition(version=registered(store).version)))
-    own = does(store, lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition(store.states["a"].version)))
+    add_start(store)
+    register(store, "a", "p3")
+    assert listed_lifecycles(store) == {"a": "DRAINING"}
+    lifted = apply_write(store, lambda d: d.lift_drain("a", Condition(version=store.states["a"].version)))
+    assert lifted.changed and listed_lifecycles(store) == {"a": "SERVING"}
+    assert not apply_write(store, lambda d: d.lift_drain("a", Condition(version=1))).changed
+
+
+def test_lifting_a_drain_keeps_the_lifecycle_that_the_instance_reported() -> None:
+    store = new_store()
+    apply_write(store, lambda d: d.drain("a", "ann", "", Condition(version=register(store).version)))
+    own = apply_write(
+        store, lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition(store.states["a"].version))
+    )
     assert own.state is not None
-    assert not does(store, lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition())).changed
-    does(store, lambda d: d.lift_drain("a", Condition(version=store.states["a"].version)))
-    assert lifecycles(store) == {"a": "DRAINING"}
+    assert not apply_write(store, lambda d: d.set_lifecycle("a", "p1", "DRAINING", Condition())).changed
+    apply_write(store, lambda d: d.lift_drain("a", Condition(version=store.states["a"].version)))
+    assert listed_lifecycles(store) == {"a": "DRAINING"}
 
 
-# what readers are told
+# changes for readers
 
 
 def test_changes_are_coalesced_to_the_last_of_each_id() -> None:
-    store = begun()
+    store = new_store()
     at = store.generation
-    state = registered(store)
-    does(store, lambda d: d.drain("a", "ann", "", Condition(version=state.version)))
-    registered(store, "b", "p2")
-    does(store, lambda d: d.expire("b"))
-    told = store.changes_after(at)
-    assert told is not None and [(e["instanceId"], e["lifecycle"]) for e in told] == [
+    state = register(store)
+    apply_write(store, lambda d: d.drain("a", "ann", "", Condition(version=state.version)))
+    register(store, "b", "p2")
+    apply_write(store, lambda d: d.expire("b"))
+    changes = store.changes_after(at)
+    assert changes is not None and [(e["instanceId"], e["lifecycle"]) for e in changes] == [
         ("a", "DRAINING"),
         ("b", "DELETED"),
     ]
     assert store.changes_after(store.generation) == []
 
 
-def test_a_version_that_this_history_does_not_hold_needs_the_whole_list() -> None:
-    store = begun(history=4)
+def test_a_generation_that_the_history_does_not_hold_needs_the_full_list() -> None:
+    store = new_store(history=4)
     first = store.generation
     for number in range(12):
-        registered(store, f"i{number}", "p")
+        register(store, f"i{number}", "p")
     assert store.changes_after(first) is None  # older than the history
     assert store.changes_after(0) is None and store.changes_after(NOW - 1) is None
-    assert store.changes_after(store.generation + 1) is None  # of a history that went further
+    assert store.changes_after(store.generation + 1) is None  # a generation that this history never reached
     assert store.history_start is not None and len(store.changes_after(store.history_start) or []) == len(
         store.history
     )
 
 
-def test_a_restored_copy_counts_from_above_what_was_told_and_knows_no_number_of_the_lost_part() -> None:
-    store = begun()
-    registered(store)
+def test_a_restored_store_continues_above_lost_generations_and_does_not_know_them() -> None:
+    store = new_store()
+    register(store)
     copy = Store.from_json(json.loads(json.dumps(store.to_json())))
     kept = store.generation
-    lost = [registered(store, f"x{n}", "p", NOW + n).version for n in range(50)]
-    starts(copy, NOW + 10**6)
-    registered(copy, "new", "p", NOW + 10**6)
+    lost = [register(store, f"x{n}", "p", NOW + n).version for n in range(50)]
+    add_start(copy, NOW + 10**6)
+    register(copy, "new", "p", NOW + 10**6)
     assert copy.generation > max(lost) and all(copy.changes_after(g) is None for g in lost)
-    told = copy.changes_after(kept)
-    assert told is not None and [e["instanceId"] for e in told] == ["new"]
+    changes = copy.changes_after(kept)
+    assert changes is not None and [e["instanceId"] for e in changes] == ["new"]
 
 
 @given(
@@ -219,7 +226,7 @@
 def test_changes_from_any_version_lead_to_the_list_as_it_is(
     writes: list[tuple[str, int, int]], ask_after: int
 ) -> None:
-    store = begun(history=8)
+    store = new_store(history=8)
     known: dict[str, dict[str, object]] = {}
     version = store.generation
     for place, (id, kind, skew) in enumerate(writes):
@@ -229,7 +236,7 @@
         draft = Draft(store, NOW + skew)
         at = Condition(version=state.version) if state else ABSENT
         if kind < 2:
-            draft.register(id, process(f"p{place}"), at if held else ABSENT)
+            draft.register(id, registration(f"p{place}"), at if held else ABSENT)
         elif kind == 2 and state:
             draft.drain(id, f"staff{place}", "", at)
         elif kind == 3 and state and state.drain:
@@ -251,8 +258,8 @@
     assert known == {e["instanceId"]: e for e in store.entries()} or version == 0 or ask_after >= len(writes)
 
 
-def test_a_batch_out_of_order_is_told() -> None:
-    store = begun()
+def test_a_batch_out_of_order_is_rejected() -> None:
+    store = new_store()
     draft = Draft(store, NOW)
     draft.add_start_record()
     store.apply(draft.records)
@@ -260,9 +267,9 @@
         store.apply(draft.records)
 
 
-def test_a_record_goes_through_its_form_unchanged_and_rubbish_is_told() -> None:
-    store = begun()
-    does(store, lambda d: d.drain("a", "ann", "why", Condition(version=registered(store).version)))
+def test_a_record_survives_its_json_form_and_invalid_records_are_rejected() -> None:
+    store = new_store()
+    apply_write(store, lambda d: d.drain("a", "ann", "why", Condition(version=register(store).version)))
     for record in store.history:
         assert record_from_json(json.loads(json.dumps(record_to_json(record)))) == record
     for rubbish in (None, [], [1, 2], ["x", "a", None, None], [1, "a", [1], None], [1, "a", None, [1]]):
@@ -270,7 +277,7 @@
             record_from_json(rubbish)
 
 
-# the form of a registration
+# validation of registrations
 
 
 @pytest.mark.parametrize(
@@ -306,7 +313,7 @@
         ("unknown", 1),
     ],
 )
-def test_a_registration_out_of_form_is_told_with_the_field(field: str, wrong: object) -> None:
+def test_an_invalid_registration_is_rejected_with_the_name_of_the_field(field: str, wrong: object) -> None:
     body: dict[str, object] = {"hostPort": "127.0.0.1:80", "process": "p"}
     assert isinstance(read_registration(body, NOW // 1000).entry, Entry)
     body[field] = wrong
@@ -317,117 +324,118 @@
 # leases
 
 
-def kept(many: int, now: float = 0.0, lease: float = 10.0) -> Leases:
+def make_leases(count: int, now: float = 0.0, lease: float = 10.0) -> Leases:
     leases = Leases(now)
-    for number in range(many):
+    for number in range(count):
         leases.renew(f"i{number}", lease, now)
     return leases
 
 
-def renew(leases: Leases, now: float, which: range) -> None:
+def renew_range(leases: Leases, now: float, which: range) -> None:
     for number in which:
         leases.renew(f"i{number}", 10.0, now)
 
 
-def ticks(leases: Leases, start: float, end: float) -> list[str]:
-    out: list[str] = []
+def run_ticks(leases: Leases, start: float, end: float) -> list[str]:
+    """Ticks every half second and removes what each tick says; the removed ids."""
+    removed: list[str] = []
     while start < end:
         start += 0.5
         for id in leases.tick(start, 0.5):
             leases.drop(id)
-            out.append(id)
-    return out
+            removed.append(id)
+    return removed
 
 
-def test_a_few_leases_that_run_out_are_removed() -> None:
-    leases = kept(20)
-    assert not ticks(leases, 0.0, 9.0)
-    renew(leases, 9.0, range(4, 20))
-    assert sorted(ticks(leases, 9.0, 12.0)) == ["i0", "i1", "i2", "i3"] and not leases.removal_held
+def test_a_few_expired_leases_are_removed() -> None:
+    leases = make_leases(20)
+    assert not run_ticks(leases, 0.0, 9.0)
+    renew_range(leases, 9.0, range(4, 20))
+    assert sorted(run_ticks(leases, 9.0, 12.0)) == ["i0", "i1", "i2", "i3"] and not leases.removal_held
 
 
-def test_many_that_run_out_together_are_held_until_they_renew() -> None:
-    leases = kept(20)
-    ticks(leases, 0.0, 9.0)
-    renew(leases, 9.0, range(5, 20))
-    assert not ticks(leases, 9.0, 15.0) and leases.removal_held and len(leases.expired(15.0)) == 5
-    renew(leases, 15.0, range(1, 20))
+def test_removal_is_held_when_many_leases_expire_together_until_all_renew() -> None:
+    leases = make_leases(20)
+    run_ticks(leases, 0.0, 9.0)
+    renew_range(leases, 9.0, range(5, 20))
+    assert not run_ticks(leases, 9.0, 15.0) and leases.removal_held and len(leases.expired(15.0)) == 5
+    renew_range(leases, 15.0, range(1, 20))
     assert (
-        not ticks(leases, 15.0, 16.0) and leases.removal_held
-    )  # one is still out: an operator's word, or its own
-    renew(leases, 16.0, range(20))
-    ticks(leases, 16.0, 16.5)
+        not run_ticks(leases, 15.0, 16.0) and leases.removal_held
+    )  # one is still expired: it must renew, or an operator resume removal
+    renew_range(leases, 16.0, range(20))
+    run_ticks(leases, 16.0, 16.5)
     assert not leases.removal_held
 
 
-def test_many_that_run_out_one_after_the_other_are_held_beyond_the_share() -> None:
+def test_removal_is_held_beyond_the_share_when_leases_expire_one_after_another() -> None:
     leases = Leases(0.0)
     for number in range(20):
         leases.renew(f"i{number}", 10.0 + number, 0.0)
-    assert len(ticks(leases, 0.0, 29.0)) == 4 and leases.removal_held
+    assert len(run_ticks(leases, 0.0, 29.0)) == 4 and leases.removal_held
 
 
-def test_an_operators_word_removes_what_ran_out_and_only_that() -> None:
-    leases = kept(20)
-    ticks(leases, 0.0, 9.0)
-    renew(leases, 9.0, range(12, 20))
-    ticks(leases, 9.0, 12.0)
+def test_an_operators_resume_removes_only_the_expired_instances() -> None:
+    leases = make_leases(20)
+    run_ticks(leases, 0.0, 9.0)
+    renew_range(leases, 9.0, range(12, 20))
+    run_ticks(leases, 9.0, 12.0)
     assert leases.removal_held and len(leases.resume(12.0)) == 12 and not leases.removal_held
     assert leases.resume(12.0) == []
 
 
-def test_the_last_instance_is_not_removed_by_itself() -> None:
-    leases = kept(1)
-    assert not ticks(leases, 0.0, 20.0) and leases.removal_held
+def test_the_last_instance_is_not_removed_without_an_operator() -> None:
+    leases = make_leases(1)
+    assert not run_ticks(leases, 0.0, 20.0) and leases.removal_held
 
 
-def test_the_services_own_pause_is_given_back() -> None:
-    leases = kept(20)
-    ticks(leases, 0.0, 8.0)
+def test_a_pause_of_the_service_extends_all_leases() -> None:
+    leases = make_leases(20)
+    run_ticks(leases, 0.0, 8.0)
     assert (
         not leases.tick(100.0, 0.5)
         and not leases.removal_held
         and leases.compensated_delay == pytest.approx(91.5)
     )
-    assert not ticks(leases, 100.0, 101.0)  # the renewals that waited unread have their time
+    assert not run_ticks(leases, 100.0, 101.0)  # time to read the renewals that were waiting
     assert leases.remaining("i0", 101.0) == pytest.approx(0.5, abs=0.6)
 
 
-# drains of what is not listed, and writes that rest on the whole list
+# drains of unregistered ids, and writes conditional on the full list's version
 
 
-def test_a_drain_can_be_set_before_there_is_an_instance_and_readers_hear_nothing_of_it() -> None:
-    store = begun()
+def test_a_drain_can_be_set_for_an_unregistered_id_and_is_not_shown_to_readers() -> None:
+    store = new_store()
     at = store.generation
     with pytest.raises(UnknownInstance):
-        does(store, lambda d: d.drain("gateway:n0", "ann", "", Condition(version=at)))
-    assert does(store, lambda d: d.drain("gateway:n0", "ann", "", ABSENT)).changed
+        apply_write(store, lambda d: d.drain("gateway:n0", "ann", "", Condition(version=at)))
+    assert apply_write(store, lambda d: d.drain("gateway:n0", "ann", "", ABSENT)).changed
     assert not store.entries() and store.changes_after(at) == [] and not store.has_news(at)
     with pytest.raises(Conflict):
-        does(store, lambda d: d.drain("gateway:n0", "bob", "", ABSENT))
-    state = registered(store)
+        apply_write(store, lambda d: d.drain("gateway:n0", "bob", "", ABSENT))
+    state = register(store)
     assert store.has_news(at) and [e["instanceId"] for e in store.changes_after(at) or []] == ["a"]
     again = Store.from_json(json.loads(json.dumps(store.to_json())))
     assert again.to_json() == store.to_json() and not again.has_news(state.version)
-    assert does(
+    assert apply_write(
         store, lambda d: d.lift_drain("gateway:n0", Condition(version=store.states["gateway:n0"].version))
     ).changed
     assert "gateway:n0" not in store.states and not store.has_news(state.version)
 
 
-def test_of_two_drains_that_were_decided_on_one_list_the_second_conflicts() -> None:
-    store = begun()
-    one, two = registered(store, "a"), registered(store, "b", "p2")
+def test_of_two_drains_based_on_one_list_version_the_second_conflicts() -> None:
+    store = new_store()
+    one, two = register(store, "a"), register(store, "b", "p2")
     at = store.generation
-    assert does(
+    assert apply_write(
         store, lambda d: d.drain("a", "ann", "", Condition(version=one.version, list_version=at))
     ).changed
-    assert not does(
+    assert not apply_write(
         store, lambda d: d.drain("a", "ann", "", Condition(version=one.version, list_version=at))
     ).changed
     with pytest.raises(Conflict, match="list"):
-        does(store, lambda d: d.drain("b", "bob", "", Condition(version=two.version, list_version=at)))
-    batch = Draft(store, NOW)  # nor do both pass in one batch
+        apply_write(store, lambda d: d.drain("b", "bob", "", Condition(version=two.version, list_version=at)))
+    batch = Draft(store, NOW)  # nor are both accepted in one batch
     at = store.generation
     batch.lift_drain("a", Condition(version=store.states["a"].version))
     with pytest.raises(Conflict, match="list"):
