--- a/embersill/directory/front.py
+++ b/embersill/directory/front.py
@@ -322,7 +322,7 @@
     async def register(self, request: web.Request) -> web.Response:
         """Registers an instance, or a new process of it, and starts its lease."""
         id, condition = self.instance_id(request), read_condition(request.headers)
-        registration = read_registration(await self.json_body(request), int(self.service.wall() * 1000))
+        registration = read_registration(await self.json_body(request), int(self.service.wall_clock() * 1000))
         entry = registration.entry
         response = await self.write(
             id,
--- a/embersill/directory/service.py
+++ b/embersill/directory/service.py
@@ -72,10 +72,10 @@
         self,
         options: Options,
         clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         seed: int | None = None,
     ) -> None:
-        self.options, self.clock, self.wall = options, clock, wall
+        self.options, self.clock, self.wall_clock = options, clock, wall_clock
         self.random = random.Random(seed)
         self.leader = check_role(options)
         self.log = Log(options.data)
@@ -148,7 +148,7 @@
 
     def now_us(self) -> int:
         """The wall clock in microseconds."""
-        return int(self.wall() * 1e6)
+        return int(self.wall_clock() * 1e6)
 
     # reading
 
@@ -187,8 +187,8 @@
         self.check_ready()
         if generation is not None and self.leader is not None and generation > self.store.generation:
             raise NotReady(f"this copy is at {self.store.generation}, behind the reader")
-        if generation is not None and wait > 0 and not self.store.has_news(generation):
-            await self.watch(lambda: self.store.has_news(generation), wait)
+        if generation is not None and wait > 0 and not self.store.has_changes_after(generation):
+            await self.watch(lambda: self.store.has_changes_after(generation), wait)
             self.check_ready()
         return self.encoded_answer(generation)
 
--- a/embersill/directory/store.py
+++ b/embersill/directory/store.py
@@ -129,7 +129,7 @@
         last = {r.id: r for r in records if r.generation not in self.invisible_generations}
         return [entry_to_json(r.id, r.entry, r.drain) for r in last.values()]
 
-    def has_news(self, generation: int) -> bool:
+    def has_changes_after(self, generation: int) -> bool:
         """Whether there is anything new for a reader at this generation."""
         return self.last_visible_generation > generation or self.records_after(generation) is None
 
@@ -183,11 +183,11 @@
     def __init__(self, store: Store, now_us: int) -> None:
         self.store, self.now_us = store, now_us
         self.records: list[Record] = []
-        self.changed: dict[str, InstanceState | None] = {}
+        self.new_states: dict[str, InstanceState | None] = {}
 
     def current_state(self, id: str) -> InstanceState | None:
         """The state of an id after the writes so far."""
-        return self.changed[id] if id in self.changed else self.store.states.get(id)
+        return self.new_states[id] if id in self.new_states else self.store.states.get(id)
 
     def last_generation(self) -> int:
         """The list's generation after the writes so far."""
@@ -198,7 +198,7 @@
         record = Record(max(self.last_generation() + 1, self.now_us), id, entry, drain)
         self.records.append(record)
         state = InstanceState(record.generation, entry, drain) if entry or drain else None
-        self.changed[id] = state
+        self.new_states[id] = state
         return state
 
     def add_start_record(self) -> None:
--- a/tests/measure_list.py
+++ b/tests/measure_list.py
@@ -34,7 +34,7 @@
     def __init__(self, addresses: list[str], many: int = FLEET_SIZE) -> None:
         self.generations = [0] * many
         self.changed = asyncio.Condition()
-        self.called: list[float] = []
+        self.call_times: list[float] = []
         seeds = random.Random()  # different in each repetition, as in each start of a gateway
         self.clients = [
             Discovery(
@@ -63,7 +63,7 @@
         """A call that also records when it is made."""
 
         async def timed_call() -> Listing:
-            self.called.append(time.monotonic())
+            self.call_times.append(time.monotonic())
             return await call()
 
         return timed_call
@@ -126,10 +126,10 @@
         size = len(str(await list_client.list()))
         watchers.end()
     asked = after["watches"] - before["watches"]
-    told, changed = after["bytes told"] - before["bytes told"], after["writes"] - before["writes"]
+    sent, changed = after["bytes told"] - before["bytes told"], after["writes"] - before["writes"]
     return (
-        f"replacement: {changed} writes, {asked} watches, {told / 1e6:.1f} MB told; "
-        f"{asked * size / 1e6:.0f} MB by whole lists of {size / 1e3:.0f} kB"
+        f"replacement: {changed} writes, {asked} watches, {sent / 1e6:.1f} MB sent; "
+        f"{asked * size / 1e6:.0f} MB with full lists of {size / 1e3:.0f} kB"
     )
 
 
@@ -181,12 +181,12 @@
     """How the watchers return after the service was killed and down for five seconds."""
     client.JITTER, before = jitter, client.JITTER
     try:
-        return f"joint return, jitter {jitter}: {await come_back(folder)}"
+        return f"joint return, jitter {jitter}: {await measure_return(folder)}"
     finally:
         client.JITTER = before
 
 
-async def come_back(folder: pathlib.Path) -> str:
+async def measure_return(folder: pathlib.Path) -> str:
     made = Process(folder)
     await made.start()
     async with process(folder.with_name("other")) as (_, list_client):
@@ -204,9 +204,9 @@
         took = time.monotonic() - restarted_at
         watchers.end()
         await again.kill()
-    after = [t for t in watchers.called if t >= restarted_at]
-    most = max(sum(t <= other < t + 0.1 for other in after) for t in after)
-    return f"at most {most} calls in 0.1 s, all told after {took:.1f} s"
+    after = [t for t in watchers.call_times if t >= restarted_at]
+    peak = max(sum(t <= other < t + 0.1 for other in after) for t in after)
+    return f"at most {peak} calls in 0.1 s, all up to date after {took:.1f} s"
 
 
 async def fail_over(folder: pathlib.Path) -> str:
@@ -223,14 +223,14 @@
         generation = (await list_client.list())["generation"]
         await watchers.until(generation)
         await follower_client.wait_for_status(lambda s: s["generation"] == generation)
-        watchers.called.clear()
+        watchers.call_times.clear()
         killed_at = time.monotonic()
         await leader.kill(signal.SIGKILL)
         await follower_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
         took = time.monotonic() - killed_at
         watchers.end()
-    most = max(sum(t <= other < t + 0.1 for other in watchers.called) for t in watchers.called)
-    return f"fail-over: at most {most} calls in 0.1 s, all watch again after {took:.1f} s"
+    peak = max(sum(t <= other < t + 0.1 for other in watchers.call_times) for t in watchers.call_times)
+    return f"fail-over: at most {peak} calls in 0.1 s, all watch again after {took:.1f} s"
 
 
 async def main() -> None:
--- a/tests/test_directory_service.py
+++ b/tests/test_directory_service.py
@@ -355,7 +355,7 @@
             last = 0
             set_clock(program, [1000.0])
             for number, jump in enumerate((0.0, 86_400.0, -86_400.0, -(10**6), 0.0)):
-                program.service.wall = lambda jump=jump: time.time() + jump  # type: ignore[misc]
+                program.service.wall_clock = lambda jump=jump: time.time() + jump  # type: ignore[misc]
                 version = await client.register(f"i{number}", leaseMs=1000)
                 assert version > last
                 last = version
--- a/tests/test_directory_store.py
+++ b/tests/test_directory_store.py
@@ -410,17 +410,17 @@
     with pytest.raises(UnknownInstance):
         apply_write(store, lambda d: d.drain("gateway:n0", "ann", "", Condition(version=at)))
     assert apply_write(store, lambda d: d.drain("gateway:n0", "ann", "", ABSENT)).changed
-    assert not store.entries() and store.changes_after(at) == [] and not store.has_news(at)
+    assert not store.entries() and store.changes_after(at) == [] and not store.has_changes_after(at)
     with pytest.raises(Conflict):
         apply_write(store, lambda d: d.drain("gateway:n0", "bob", "", ABSENT))
     state = register(store)
-    assert store.has_news(at) and [e["instanceId"] for e in store.changes_after(at) or []] == ["a"]
+    assert store.has_changes_after(at) and [e["instanceId"] for e in store.changes_after(at) or []] == ["a"]
     again = Store.from_json(json.loads(json.dumps(store.to_json())))
-    assert again.to_json() == store.to_json() and not again.has_news(state.version)
+    assert again.to_json() == store.to_json() and not again.has_changes_after(state.version)
     assert apply_write(
         store, lambda d: d.lift_drain("gateway:n0", Condition(version=store.states["gateway:n0"].version))
     ).changed
-    assert "gateway:n0" not in store.states and not store.has_news(state.version)
+    assert "gateway:n0" not in store.states and not store.has_changes_after(state.version)
 
 
 def test_of_two_drains_based_on_one_list_version_the_second_conflicts() -> None:
