--- a/embersill/ops/fleet.py
+++ b/embersill/ops/fleet.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-NAME = re.compile(r"[A-Za-z0-9._@-]{1,100}")
-ADDRESS = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9.-]+):([0-9]{1,5})")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._@-]{1,100}")
+ADDRESS_PATTERN = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9.-]+):([0-9]{1,5})")
 
 
-class BadFleet(Exception):
+class InvalidFleetFile(Exception):
     """What is wrong with the fleet file, in one line."""
 
 
@@ -45,10 +45,10 @@
     backends: tuple[Member, ...]
     guards: Guards
 
-    def gateway(self, name: str) -> Member | None:
+    def find_gateway(self, name: str) -> Member | None:
         return next((g for g in self.gateways if g.name == name), None)
 
-    def console(self, name: str) -> str:
+    def console_address(self, name: str) -> str:
         return next(g.console for g in self.gateways if g.name == name)
 
     def machines(self) -> set[str]:
@@ -60,20 +60,20 @@
         with path.open("rb") as file:
             return build_fleet(tomllib.load(file))
     except OSError as error:
-        raise BadFleet(f"{path}: {error.strerror}") from error
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError, BadFleet) as error:
-        raise BadFleet(f"{path}: {error}") from error
+        raise InvalidFleetFile(f"{path}: {error.strerror}") from error
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError, InvalidFleetFile) as error:
+        raise InvalidFleetFile(f"{path}: {error}") from error
 
 
 def build_fleet(told: Mapping[str, Any]) -> Fleet:
-    only(told, "the file", "directory", "gateway", "backend", "guards")
+    reject_unknown_keys(told, "the file", "directory", "gateway", "backend", "guards")
     directory = told.get("directory")
     if not isinstance(directory, list) or not directory:
-        raise BadFleet("directory names no address of the list service")
-    gateways = tuple(member(g, "gateway", True) for g in tables(told, "gateway"))
+        raise InvalidFleetFile("directory names no address of the list service")
+    gateways = tuple(read_member(g, "gateway", True) for g in read_tables(told, "gateway"))
     if not gateways:
-        raise BadFleet("there is no [[gateway]]")
-    backends = tuple(member(b, "backend", False) for b in tables(told, "backend"))
+        raise InvalidFleetFile("there is no [[gateway]]")
+    backends = tuple(read_member(b, "backend", False) for b in read_tables(told, "backend"))
     for what, names in (
         ("gateway", [g.name for g in gateways]),
         ("backend", [b.name for b in backends]),
@@ -81,58 +81,64 @@
     ):
         twice = sorted({n for n in names if names.count(n) > 1})
         if twice:
-            raise BadFleet(f"{what} {twice[0]} stands twice")
-    return Fleet(tuple(address(d, "directory") for d in directory), gateways, backends, guards(told))
+            raise InvalidFleetFile(f"{what} {twice[0]} stands twice")
+    return Fleet(
+        tuple(read_address(d, "directory") for d in directory), gateways, backends, read_guards(told)
+    )
 
 
-def only(told: Mapping[str, Any], where: str, *known: str) -> None:
+def reject_unknown_keys(told: Mapping[str, Any], where: str, *known: str) -> None:
     for key in told:
         if key not in known:
-            raise BadFleet(f"{where} has an unknown key {key!r}; known are {', '.join(known)}")
+            raise InvalidFleetFile(f"{where} has an unknown key {key!r}; known are {', '.join(known)}")
 
 
-def tables(told: Mapping[str, Any], key: str) -> list[dict[str, Any]]:
+def read_tables(told: Mapping[str, Any], key: str) -> list[dict[str, Any]]:
     found = told.get(key, [])
     if not isinstance(found, list) or not all(isinstance(t, dict) for t in found):
-        raise BadFleet(f"{key} is no list of tables: write [[{key}]]")
+        raise InvalidFleetFile(f"{key} is no list of tables: write [[{key}]]")
     return found
 
 
-def member(told: dict[str, Any], what: str, console: bool) -> Member:
+def read_member(told: dict[str, Any], what: str, console: bool) -> Member:
     keys = ("name", "machine", "console") if console else ("name", "machine")
-    only(told, f"[[{what}]]", *keys)
-    name, machine = name_of(told, what, "name"), name_of(told, what, "machine")
-    return Member(name, machine, address(told.get("console"), f"{what} {name}: console") if console else "")
+    reject_unknown_keys(told, f"[[{what}]]", *keys)
+    name, machine = read_name(told, what, "name"), read_name(told, what, "machine")
+    return Member(
+        name, machine, read_address(told.get("console"), f"{what} {name}: console") if console else ""
+    )
 
 
-def name_of(told: dict[str, Any], what: str, key: str) -> str:
+def read_name(told: dict[str, Any], what: str, key: str) -> str:
     value = told.get(key)
-    if not isinstance(value, str) or not NAME.fullmatch(value):
-        raise BadFleet(f"a [[{what}]] has no {key} in its form: {value!r}")
+    if not isinstance(value, str) or not NAME_PATTERN.fullmatch(value):
+        raise InvalidFleetFile(f"a [[{what}]] has no {key} in its form: {value!r}")
     return value
 
 
-def address(value: Any, what: str) -> str:
-    match = ADDRESS.fullmatch(value) if isinstance(value, str) else None
+def read_address(value: Any, what: str) -> str:
+    match = ADDRESS_PATTERN.fullmatch(value) if isinstance(value, str) else None
     if match is None or not 0 < int(match[2]) < 65536:
-        raise BadFleet(f"{what} is no host:port: {value!r}")
+        raise InvalidFleetFile(f"{what} is no host:port: {value!r}")
     return str(value)
 
 
-def guards(told: Mapping[str, Any]) -> Guards:
+def read_guards(told: Mapping[str, Any]) -> Guards:
     table = told.get("guards")
     if not isinstance(table, dict):
-        raise BadFleet("there is no [guards]")
+        raise InvalidFleetFile("there is no [guards]")
     whole = ("least_serving", "least_cell", "least_zone", "least_gateways")
-    only(table, "[guards]", "backend_rate", "headroom", *whole)
+    reject_unknown_keys(table, "[guards]", "backend_rate", "headroom", *whole)
     if "backend_rate" not in table:
-        raise BadFleet("[guards] has no backend_rate, the requests a second that a backend of weight 1 bears")
+        raise InvalidFleetFile(
+            "[guards] has no backend_rate, the requests a second that a backend of weight 1 bears"
+        )
     for key, value in table.items():
         number = isinstance(value, int | float) and not isinstance(value, bool)
         if not number or value <= 0 and key not in whole or value < 0:
-            raise BadFleet(f"[guards] {key} is no number above nought: {value!r}")
+            raise InvalidFleetFile(f"[guards] {key} is no number above nought: {value!r}")
         if key in whole and not isinstance(value, int):
-            raise BadFleet(f"[guards] {key} is no whole number: {value!r}")
+            raise InvalidFleetFile(f"[guards] {key} is no whole number: {value!r}")
     if not table.get("headroom", 0.8) <= 1:
-        raise BadFleet("[guards] headroom is a part: at most 1")
+        raise InvalidFleetFile("[guards] headroom is a part: at most 1")
     return Guards(**table)
--- a/embersill/ops/guards.py
+++ b/embersill/ops/guards.py
@@ -8,11 +8,11 @@
 
 from embersill.ops.fleet import Guards
 
-GATEWAY = "gateway:"  # before a gateway's name, where its mark stands among staff's drains
+GATEWAY_PREFIX = "gateway:"  # before a gateway's name, where its mark stands among staff's drains
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedBackend:
     """A backend as the list has it."""
 
     lifecycle: str
@@ -23,22 +23,24 @@
     drained_by: str | None = None
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         return self.lifecycle == "SERVING"
 
 
 @dataclass(frozen=True, slots=True)
-class List:
+class InstanceList:
     """The whole list at one generation; marks are staff's drains by id, gateways' among them."""
 
     generation: int
-    backends: Mapping[str, Listed]
-    marks: Mapping[str, tuple[str, int]]
+    backends: Mapping[str, ListedBackend]
+    drain_marks: Mapping[str, tuple[str, int]]
 
 
-def backends_left(guards: Guards, listed: List, ids: Collection[str], load: float | None) -> list[str]:
+def backend_guard_violations(
+    guards: Guards, listed: InstanceList, ids: Collection[str], load: float | None
+) -> list[str]:
     """Why these may not all be drained; nothing where they may. What serves no more takes nothing away."""
-    serving = {id: b for id, b in listed.backends.items() if b.serves}
+    serving = {id: b for id, b in listed.backends.items() if b.is_serving}
     going = {id: b for id, b in serving.items() if id in ids}
     left = [b for id, b in serving.items() if id not in ids]
     if not going:
@@ -59,7 +61,7 @@
     return reasons
 
 
-def gateways_left(guards: Guards, ready: Collection[str], names: Collection[str]) -> list[str]:
+def gateway_guard_violations(guards: Guards, ready: Collection[str], names: Collection[str]) -> list[str]:
     """The same for gateways; ready are those that say so and have no mark."""
     left, least = len(set(ready) - set(names)), max(1, guards.least_gateways)
     return [] if left >= least else [f"{left} gateways would be ready, {least} must"]
--- a/embersill/ops/wire.py
+++ b/embersill/ops/wire.py
@@ -11,37 +11,47 @@
 
 import aiohttp
 
-from embersill.ops.fleet import ADDRESS, Fleet
-from embersill.ops.guards import List, Listed
-from embersill.ops.procedure import Ask, Call, Conflict, Failed, Mark, Pause, ReadList, ReadLoad, Unmark
-
-CONSOLE_WITHIN = 2.0  # seconds for a console's answer, which is owed in one
-LIST_WITHIN = 3.0  # seconds for the list service's: a write waits for a disk
-LOAD_OVER = 2.0  # seconds over which the load is counted: the figures may lag by half of one
-AT_ONCE = 50  # consoles asked at a time
-MOST_ANSWER = 64 * 1024  # bytes of a console's answer
-FORMS: dict[str, dict[str, type | tuple[type, ...]]] = {
+from embersill.ops.fleet import ADDRESS_PATTERN, Fleet
+from embersill.ops.guards import InstanceList, ListedBackend
+from embersill.ops.procedure import (
+    Call,
+    CallFailed,
+    ClearDrainMark,
+    Conflict,
+    ConsoleCommand,
+    Pause,
+    ReadList,
+    ReadLoad,
+    SetDrainMark,
+)
+
+CONSOLE_TIMEOUT = 2.0  # seconds for a console's answer, which is owed in one
+LIST_TIMEOUT = 3.0  # seconds for the list service's: a write waits for a disk
+LOAD_WINDOW = 2.0  # seconds over which the load is counted: the figures may lag by half of one
+MAX_CONCURRENT_CONSOLES = 50  # consoles asked at a time
+MAX_ANSWER_BYTES = 64 * 1024  # bytes of a console's answer
+ANSWER_FIELDS: dict[str, dict[str, type | tuple[type, ...]]] = {
     "OUT": {"state": str, "out": int, "list": int},
     "PHASE": {"phase": str, "open": int, "ready": bool, "started": (int, float)},
 }
-FORMS["DRAIN"] = FORMS["SERVE"] = FORMS["PHASE"]
+ANSWER_FIELDS["DRAIN"] = ANSWER_FIELDS["SERVE"] = ANSWER_FIELDS["PHASE"]
 
 
 class OutOfForm(Exception):
     """An answer that is not what the call's page says."""
 
 
-class Wire:
+class FleetClient:
     """Carries out calls, each with its time limit, and words what went wrong."""
 
     def __init__(self, fleet: Fleet, by: str, reason: str) -> None:
         self.fleet, self.by, self.reason = fleet, by, reason
         self.consoles = {g.name: g.console for g in fleet.gateways}
-        self.room = asyncio.Semaphore(AT_ONCE)
+        self.console_slots = asyncio.Semaphore(MAX_CONCURRENT_CONSOLES)
         self.session: aiohttp.ClientSession
 
-    async def __aenter__(self) -> Wire:
-        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=LIST_WITHIN))
+    async def __aenter__(self) -> FleetClient:
+        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=LIST_TIMEOUT))
         return self
 
     async def __aexit__(
@@ -49,94 +59,98 @@
     ) -> None:
         await self.session.close()
 
-    async def all(self, calls: Iterable[Call]) -> list[Any]:
-        return list(await asyncio.gather(*(self.one(call) for call in calls)))
+    async def perform_all(self, calls: Iterable[Call]) -> list[Any]:
+        return list(await asyncio.gather(*(self.perform(call) for call in calls)))
 
-    async def one(self, call: Call) -> Any:
+    async def perform(self, call: Call) -> Any:
         if isinstance(call, Pause):
             return await asyncio.sleep(call.seconds)
         if isinstance(call, ReadLoad):
-            return await self.load()
+            return await self.measure_load()
         try:
             if isinstance(call, ReadList):
                 return await self.read_list()
-            if isinstance(call, Mark):
-                return await self.mark(call)
-            if isinstance(call, Unmark):
-                return await self.unmark(call)
-            return await self.ask(call)
+            if isinstance(call, SetDrainMark):
+                return await self.set_drain_mark(call)
+            if isinstance(call, ClearDrainMark):
+                return await self.clear_drain_mark(call)
+            return await self.send_command(call)
         except ConnectionRefusedError as error:
-            return Failed(f"nothing listens there ({error.strerror or error})", refused=True)
+            return CallFailed(f"nothing listens there ({error.strerror or error})", connection_refused=True)
         except TimeoutError:
-            return Failed("no answer in time")
+            return CallFailed("no answer in time")
         except (OSError, aiohttp.ClientError, OutOfForm) as error:
-            return Failed(" ".join(f"{type(error).__name__}: {error}".split())[:200])
+            return CallFailed(" ".join(f"{type(error).__name__}: {error}".split())[:200])
 
     # consoles
 
-    async def console(self, at: str, line: str) -> str:
+    async def send_line(self, at: str, line: str) -> str:
         host, _, port = at.rpartition(":")
-        async with self.room, asyncio.timeout(CONSOLE_WITHIN):
+        async with self.console_slots, asyncio.timeout(CONSOLE_TIMEOUT):
             reader, writer = await asyncio.open_connection(host.strip("[]"), int(port))
             try:
                 writer.write(f"{line}\n".encode())
                 answer = b""
-                while len(answer) <= MOST_ANSWER and (piece := await reader.read(MOST_ANSWER)):
+                while len(answer) <= MAX_ANSWER_BYTES and (piece := await reader.read(MAX_ANSWER_BYTES)):
                     answer += piece
             finally:
                 writer.close()
         return answer.decode(errors="replace")
 
-    async def ask(self, call: Ask) -> dict[str, Any] | Failed:
-        text = (await self.console(call.at or self.consoles[call.gateway], call.line)).strip()
+    async def send_command(self, call: ConsoleCommand) -> dict[str, Any] | CallFailed:
+        text = (await self.send_line(call.address or self.consoles[call.gateway], call.line)).strip()
         word, _, rest = text.partition(" ")
         if word == "error":
-            return Failed(rest[:200])
-        told = read_object(rest if word == "done" else "", text)
-        for key, kind in FORMS[call.line.partition(" ")[0]].items():
+            return CallFailed(rest[:200])
+        told = parse_object(rest if word == "done" else "", text)
+        for key, kind in ANSWER_FIELDS[call.line.partition(" ")[0]].items():
             if not isinstance(told.get(key), kind) or isinstance(told[key], bool) != (kind is bool):
                 raise OutOfForm(f"the console's answer has no {key} in its form: {text[:80]!r}")
         successor = told.get("successor")
-        if successor is not None and not (isinstance(successor, str) and ADDRESS.fullmatch(successor)):
+        if successor is not None and not (
+            isinstance(successor, str) and ADDRESS_PATTERN.fullmatch(successor)
+        ):
             raise OutOfForm(f"the console names no successor's address: {text[:80]!r}")
         return told
 
-    async def load(self) -> float | None:
+    async def measure_load(self) -> float | None:
         """Of those that tell, and as much for each that does not."""
-        first, began = await self.calls_made(), time.monotonic()
-        await asyncio.sleep(LOAD_OVER)
-        second, took = await self.calls_made(), time.monotonic() - began
+        first, began = await self.read_call_counts(), time.monotonic()
+        await asyncio.sleep(LOAD_WINDOW)
+        second, took = await self.read_call_counts(), time.monotonic() - began
         rates = [max(second[g] - first[g], 0) / took for g in first.keys() & second.keys()]
         return sum(rates) * len(self.consoles) / len(rates) if rates else None
 
-    async def calls_made(self) -> dict[str, int]:
+    async def read_call_counts(self) -> dict[str, int]:
         made = {}
         for name, told in zip(
-            self.consoles, await asyncio.gather(*map(self.metrics, self.consoles)), strict=True
+            self.consoles, await asyncio.gather(*map(self.read_metrics, self.consoles)), strict=True
         ):
             calls = told.get("backend_calls")
             if isinstance(calls, int):
                 made[name] = calls
         return made
 
-    async def metrics(self, gateway: str) -> dict[str, Any]:
+    async def read_metrics(self, gateway: str) -> dict[str, Any]:
         try:
-            text = await self.console(self.consoles[gateway], "METRICS")
-            return read_object(text.partition("\n")[0], text)
+            text = await self.send_line(self.consoles[gateway], "METRICS")
+            return parse_object(text.partition("\n")[0], text)
         except (OSError, TimeoutError, OutOfForm):
             return {}
 
     # the list service
 
-    async def read_list(self) -> List | Failed:
+    async def read_list(self) -> InstanceList | CallFailed:
         """From the first address that answers: a copy does, as the guard's word is checked with the write."""
-        instances = await self.call("GET", "/v1/instances")
-        drains = await self.call("GET", "/v1/drains")
-        if isinstance(instances, Failed) or isinstance(drains, Failed):
-            return Failed(next(told.why for told in (instances, drains) if isinstance(told, Failed)))
+        instances = await self.request("GET", "/v1/instances")
+        drains = await self.request("GET", "/v1/drains")
+        if isinstance(instances, CallFailed) or isinstance(drains, CallFailed):
+            return CallFailed(
+                next(told.reason for told in (instances, drains) if isinstance(told, CallFailed))
+            )
         try:
             backends = {
-                i["instanceId"]: Listed(
+                i["instanceId"]: ListedBackend(
                     str(i["lifecycle"]),
                     str(i["zone"]),
                     int(i["cell"]),
@@ -148,26 +162,26 @@
             }
             marks = {d["instanceId"]: (str(d["drain"]["by"]), int(d["version"])) for d in drains["drains"]}
             # what changed between the two reads must not pass for having been seen
-            return List(min(int(instances["generation"]), int(drains["generation"])), backends, marks)
+            return InstanceList(min(int(instances["generation"]), int(drains["generation"])), backends, marks)
         except (KeyError, TypeError, ValueError) as error:
             raise OutOfForm(f"the list: {error!r}") from error
 
-    async def mark(self, call: Mark) -> int | Conflict | Failed:
+    async def set_drain_mark(self, call: SetDrainMark) -> int | Conflict | CallFailed:
         rests = {"If-None-Match": "*"} if call.version is None else {"If-Match": f'"{call.version}"'}
-        told = await self.call(
+        told = await self.request(
             "PUT",
             f"/v1/instances/{call.id}/drain",
             {"by": self.by, "reason": self.reason},
             {**rests, "List-Match": f'"{call.generation}"'},
         )
-        return told if isinstance(told, Conflict | Failed) else int(told["version"])
+        return told if isinstance(told, Conflict | CallFailed) else int(told["version"])
 
-    async def unmark(self, call: Unmark) -> Any:
-        return await self.call(
+    async def clear_drain_mark(self, call: ClearDrainMark) -> Any:
+        return await self.request(
             "DELETE", f"/v1/instances/{call.id}/drain", None, {"If-Match": f'"{call.version}"'}
         )
 
-    async def call(
+    async def request(
         self,
         method: str,
         path: str,
@@ -186,14 +200,14 @@
                 why.append(f"{where}: {' '.join(str(error).split()) or 'no answer in time'}")
                 continue
             if answer.status in (200, 201):
-                return read_object(text, text)
+                return parse_object(text, text)
             if answer.status == 412:
-                return Conflict(error_of(text))
-            why.append(f"{where}: {answer.status} {error_of(text)}")
-        return Failed("; ".join(why))
+                return Conflict(error_text(text))
+            why.append(f"{where}: {answer.status} {error_text(text)}")
+        return CallFailed("; ".join(why))
 
 
-def read_object(text: str, shown: str) -> dict[str, Any]:
+def parse_object(text: str, shown: str) -> dict[str, Any]:
     try:
         told = json.loads(text)
     except ValueError:
@@ -203,7 +217,7 @@
     return told
 
 
-def error_of(text: str) -> str:
+def error_text(text: str) -> str:
     try:
         return str(json.loads(text)["error"])
     except (ValueError, KeyError, TypeError):
