--- a/embersill/ops/__init__.py
+++ b/embersill/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' commands: procedures over the whole fleet, each a pure state machine apart from its calls."""
+"""Commands for operators: drain, undrain and status of backends, gateways and machines."""
--- a/embersill/ops/guards.py
+++ b/embersill/ops/guards.py
@@ -1,4 +1,4 @@
-"""What a drain must leave standing. No I/O: the list, the load and who is ready come in, reasons go out."""
+"""Guards of a drain: what has to remain in service. Without I/O: callers pass in the list and the load."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from embersill.ops.fleet import Guards
 
-GATEWAY_PREFIX = "gateway:"  # before a gateway's name, where its mark stands among staff's drains
+GATEWAY_PREFIX = "gateway:"  # of a gateway's name, as the id of its drain mark in the list service
 
 
 @dataclass(frozen=True, slots=True)
 class ListedBackend:
-    """A backend as the list has it."""
+    """A backend as the list service describes it."""
 
     lifecycle: str
     zone: str
@@ -29,39 +29,43 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceList:
-    """The whole list at one generation; marks are staff's drains by id, gateways' among them."""
+    """The full list at one generation, and the operators' drain marks of backends and gateways."""
 
     generation: int
     backends: Mapping[str, ListedBackend]
-    drain_marks: Mapping[str, tuple[str, int]]
+    drain_marks: Mapping[str, tuple[str, int]]  # by id: who set it, its version
 
 
 def backend_guard_violations(
     guards: Guards, listed: InstanceList, ids: Collection[str], load: float | None
 ) -> list[str]:
-    """Why these may not all be drained; nothing where they may. What serves no more takes nothing away."""
+    """Returns the reasons against draining these backends, empty if there are none.
+
+    `load` is the attempts per second of all gateways, None if unknown. Backends that are not serving remove
+    no capacity, so draining them is always allowed.
+    """
     serving = {id: b for id, b in listed.backends.items() if b.is_serving}
-    going = {id: b for id, b in serving.items() if id in ids}
-    left = [b for id, b in serving.items() if id not in ids]
-    if not going:
+    leaving = {id: b for id, b in serving.items() if id in ids}
+    remaining = [b for id, b in serving.items() if id not in ids]
+    if not leaving:
         return []
     reasons = []
-    if len(left) < max(1, guards.least_serving):
-        reasons.append(f"{len(left)} backends would serve, {max(1, guards.least_serving)} must")
+    if len(remaining) < max(1, guards.least_serving):
+        reasons.append(f"{len(remaining)} backends would serve, {max(1, guards.least_serving)} must")
     for what, least in (("cell", guards.least_cell), ("zone", guards.least_zone)):
-        remain = Counter(getattr(b, what) for b in left)
-        for place in sorted({getattr(b, what) for b in going.values()}):
-            if remain[place] < least:
-                reasons.append(f"{what} {place!r} would have {remain[place]} that serve, {least} must")
-    bears = sum(b.weight for b in left) * guards.backend_rate * guards.headroom
+        counts = Counter(getattr(b, what) for b in remaining)
+        for value in sorted({getattr(b, what) for b in leaving.values()}):
+            if counts[value] < least:
+                reasons.append(f"{what} {value!r} would have {counts[value]} that serve, {least} must")
+    capacity = sum(b.weight for b in remaining) * guards.backend_rate * guards.headroom
     if load is None:
         reasons.append("the load is not known: no gateway tells its figures")
-    elif load > bears:
-        reasons.append(f"the load is {load:.1f} requests a second, those left bear {bears:.1f}")
+    elif load > capacity:
+        reasons.append(f"the load is {load:.1f} requests a second, those left bear {capacity:.1f}")
     return reasons
 
 
 def gateway_guard_violations(guards: Guards, ready: Collection[str], names: Collection[str]) -> list[str]:
-    """The same for gateways; ready are those that say so and have no mark."""
-    left, least = len(set(ready) - set(names)), max(1, guards.least_gateways)
-    return [] if left >= least else [f"{left} gateways would be ready, {least} must"]
+    """Returns the reasons against draining these gateways; `ready` holds the ready ones without a mark."""
+    remaining, least = len(set(ready) - set(names)), max(1, guards.least_gateways)
+    return [] if remaining >= least else [f"{remaining} gateways would be ready, {least} must"]
