--- a/embersill/ops/__main__.py
+++ b/embersill/ops/__main__.py
@@ -1,4 +1,4 @@
-"""Operators' commands: drain, undrain and status, over the fleet that a file describes."""
+"""The operators' command line: drain, undrain and status of the fleet that a file describes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import time
 from typing import Any
 
-from embersill.ops.fleet import InvalidFleetFile, Fleet, read_fleet
+from embersill.ops.fleet import Fleet, InvalidFleetFile, read_fleet
 from embersill.ops.guards import GATEWAY_PREFIX, InstanceList
 from embersill.ops.procedure import (
     CallFailed,
@@ -27,75 +27,84 @@
 )
 from embersill.ops.wire import FleetClient
 
-DEFAULT_TIMEOUT = 120.0  # seconds; the longest work is some ten, and a machine has several processes
+DEFAULT_TIMEOUT = 120.0  # seconds; the longest requests take some ten, and a machine has several processes
 
 
 def build_parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         prog="python -m embersill.ops",
         description="Takes parts of the fleet out of service and puts them back.",
         epilog="Exits with 0: done, 1: failed, 2: bad use, 3: refused by a guard, 4: timed out, 5: no fleet.",
     )
-    made.add_argument(
-        "--fleet", type=pathlib.Path, required=True, metavar="FILE", help="what the fleet is, in TOML"
+    parser.add_argument(
+        "--fleet",
+        type=pathlib.Path,
+        required=True,
+        metavar="FILE",
+        help="the TOML file that describes the fleet",
     )
-    commands = made.add_subparsers(dest="command", required=True, metavar="drain | undrain | status")
-    for name, what in (
-        ("drain", "take out of service, losing nothing"),
+    commands = parser.add_subparsers(dest="command", required=True, metavar="drain | undrain | status")
+    for name, description in (
+        ("drain", "take out of service without losing requests"),
         ("undrain", "put back into service"),
     ):
-        command = commands.add_parser(name, help=what, description=what)
+        command = commands.add_parser(name, help=description, description=description)
         command.add_argument("kind", choices=("backend", "gateway", "machine"))
         command.add_argument("target", metavar="ID", help="the backend's id, the gateway's or machine's name")
-        command.add_argument("--dry-run", action="store_true", help="check and tell, change nothing")
+        command.add_argument("--dry-run", action="store_true", help="check the guards and change nothing")
         command.add_argument("--json", action="store_true", help="one JSON object on standard output")
         command.add_argument(
-            "--by", type=parse_remark, default=current_user(), help="who does it (default %(default)s)"
+            "--by",
+            type=parse_remark,
+            default=current_user(),
+            help="the operator's name (default %(default)s)",
         )
         command.add_argument(
             "--state",
             type=pathlib.Path,
             metavar="DIR",
             default=default_state_directory(),
-            help="where the last words of gateways are kept (default %(default)s)",
+            help="directory for the last answers of gateways (default %(default)s)",
         )
         if name == "drain":
-            command.add_argument("--wait", action="store_true", help="until it is empty")
+            command.add_argument("--wait", action="store_true", help="wait until it is empty")
             command.add_argument(
                 "--timeout",
                 type=parse_timeout,
                 default=DEFAULT_TIMEOUT,
                 metavar="S",
-                help="of --wait; all stays as it is then (default %(default)s)",
+                help="of --wait, in seconds; the drain goes on after it (default %(default)s)",
             )
-            command.add_argument("--force", action="store_true", help="also where a guard refuses")
-            command.add_argument("--reason", type=parse_remark, default="", help="kept with the mark")
-    status = commands.add_parser("status", help="what serves, drains, or can't be asked")
+            command.add_argument("--force", action="store_true", help="drain even if a guard refuses")
+            command.add_argument("--reason", type=parse_remark, default="", help="stored with the drain mark")
+    status = commands.add_parser("status", help="show what serves, drains, or can't be asked")
     status.add_argument("--json", action="store_true", help="one JSON object on standard output")
-    return made
+    return parser
 
 
 def parse_remark(text: str) -> str:
-    """What goes with a mark: the list service takes no more than this."""
+    """Checks a text that is stored with a drain mark against the limits of the list service."""
     if len(text) > 150 or not text.isprintable():
-        raise argparse.ArgumentTypeError(f"{text[:40]!r} is no line of up to 150 printable characters")
+        raise argparse.ArgumentTypeError(f"{text[:40]!r} is not a line of up to 150 printable characters")
     return text
 
 
 def current_user() -> str:
+    """Returns the user's name, or the user id if it has none."""
     try:
         return getpass.getuser()
-    except (KeyError, OSError):  # a user without a name, as in a bare container
+    except (KeyError, OSError):  # as in a container without an entry for the user
         return f"uid {os.getuid()}"
 
 
 def parse_timeout(text: str) -> float:
+    """Parses a timeout in seconds, at most a day."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 < value <= 86_400:
-        raise argparse.ArgumentTypeError(f"{text!r} is no number of seconds up to a day")
+        raise argparse.ArgumentTypeError(f"{text!r} is not a number of seconds between 0 and 86400")
     return value
 
 
@@ -105,7 +114,7 @@
 
 
 def resolve_target(fleet: Fleet, kind: str, target: str) -> tuple[list[str], list[str]]:
-    """The backends and gateways that are meant; Ended where there are none."""
+    """Returns the ids of the target's backends and gateways; raises ProcedureEnded if there are none."""
     if kind == "backend":
         return [target], []
     if kind == "gateway":
@@ -120,10 +129,13 @@
 
 
 class StateFile:
-    """The last words of gateways, in a file that is whole at any moment."""
+    """The state that procedures resume from: gateways' last answers, in a file that is replaced atomically.
 
-    def __init__(self, folder: pathlib.Path) -> None:
-        self.path = folder / "gateways.json"
+    Raises ProcedureEnded if the file exists but cannot be read.
+    """
+
+    def __init__(self, directory: pathlib.Path) -> None:
+        self.path = directory / "gateways.json"
         self.state: dict[str, Any] = {}
         try:
             self.state = json.loads(self.path.read_text())
@@ -134,6 +146,7 @@
         self.stored_text = json.dumps(self.state)
 
     def store(self) -> None:
+        """Writes the state if it has changed."""
         text = json.dumps(self.state)
         if text == self.stored_text:
             return
@@ -144,55 +157,59 @@
         self.stored_text = text
 
 
-async def execute(procedure: Procedure, wire: FleetClient, store: StateFile) -> None:
-    """Plays a procedure to its end; Ended where that is not simply done."""
+async def execute(procedure: Procedure, client: FleetClient, state_file: StateFile) -> None:
+    """Runs a procedure, storing its state after each round; raises ProcedureEnded if it does not complete."""
     rounds = procedure.run()
     try:
         calls = next(rounds)
         while True:
-            results = await wire.perform_all(calls)
+            results = await client.perform_all(calls)
             try:
                 calls = rounds.send((time.monotonic(), results))
             finally:
-                store.store()
+                state_file.store()
     except StopIteration:
         return
 
 
-async def run_command(told: argparse.Namespace, fleet: Fleet) -> tuple[Result, list[str], list[str]]:
-    said: list[str] = []
+async def run_command(options: argparse.Namespace, fleet: Fleet) -> tuple[Result, list[str], list[str]]:
+    """Runs drain or undrain; returns the result, its reasons and the lines reported to standard error."""
+    lines: list[str] = []
 
-    def say(text: str) -> None:
-        if not said or said[-1] != text:
-            said.append(text)
+    def report(text: str) -> None:
+        if not lines or lines[-1] != text:
+            lines.append(text)
             print(text, file=sys.stderr, flush=True)
 
     try:
-        backends, gateways = resolve_target(fleet, told.kind, told.target)
-        memory = StateFile(told.state)
-        job = Job(fleet, backends, gateways, dry_run=told.dry_run, report=say, saved_state=memory.state)
+        backends, gateways = resolve_target(fleet, options.kind, options.target)
+        state_file = StateFile(options.state)
+        job = Job(
+            fleet, backends, gateways, dry_run=options.dry_run, report=report, saved_state=state_file.state
+        )
         reason = ""
-        if told.command == "drain":
-            job.force, job.wait, job.timeout = told.force, told.wait, told.timeout
-            reason = f"{'forced: ' if told.force else ''}{told.reason}"
-        kind = Drain if told.command == "drain" else Undrain
-        async with FleetClient(fleet, told.by, reason) as wire:
-            await execute(kind(job, time.monotonic()), wire, memory)
+        if options.command == "drain":
+            job.force, job.wait, job.timeout = options.force, options.wait, options.timeout
+            reason = f"{'forced: ' if options.force else ''}{options.reason}"
+        procedure_class = Drain if options.command == "drain" else Undrain
+        async with FleetClient(fleet, options.by, reason) as client:
+            await execute(procedure_class(job, time.monotonic()), client, state_file)
     except ProcedureEnded as end:
-        return end.result, end.reasons, said
-    return Result.DONE, [], said
+        return end.result, end.reasons, lines
+    return Result.DONE, [], lines
 
 
 async def read_status(fleet: Fleet) -> tuple[Result, dict[str, Any]]:
-    async with FleetClient(fleet, "", "") as wire:
-        listed, *told = await wire.perform_all(
+    """Asks the list service and all gateways; returns the object that `status --json` prints."""
+    async with FleetClient(fleet, "", "") as client:
+        listed, *answers = await client.perform_all(
             [ReadList(), *(ConsoleCommand(g.name, "PHASE") for g in fleet.gateways)]
         )
     marks = listed.drain_marks if isinstance(listed, InstanceList) else {}
     gateways = {
         g.name: {"machine": g.machine, "marked_by": marks.get(GATEWAY_PREFIX + g.name, (None, 0))[0]}
-        | ({"unreachable": w.reason} if isinstance(w, CallFailed) else w)
-        for g, w in zip(fleet.gateways, told, strict=True)
+        | ({"unreachable": answer.reason} if isinstance(answer, CallFailed) else answer)
+        for g, answer in zip(fleet.gateways, answers, strict=True)
     }
     if isinstance(listed, CallFailed):
         return Result.UNREACHABLE, {"list": listed.reason, "gateways": gateways, "backends": {}}
@@ -210,38 +227,39 @@
     return Result.DONE, {"list": listed.generation, "gateways": gateways, "backends": backends}
 
 
-def print_status(told: dict[str, Any]) -> None:
-    print(f"list      {told['list']}")
-    for name, g in told["gateways"].items():
+def print_status(status: dict[str, Any]) -> None:
+    print(f"list      {status['list']}")
+    for name, g in status["gateways"].items():
         state = (
             f"can't be asked: {g['unreachable']}" if "unreachable" in g else f"{g['phase']}, {g['open']} open"
         )
         successor = f", goes on at {g['successor']}" if "successor" in g else ""
         print(f"gateway   {name}  {state}{successor}{marked_by(g)}")
-    for name, b in told["backends"].items():
+    for name, b in status["backends"].items():
         print(f"backend   {name}  {b['lifecycle']}, zone {b['zone'] or '-'}, cell {b['cell']}{marked_by(b)}")
 
 
-def marked_by(thing: dict[str, Any]) -> str:
-    return f", marked by {thing['marked_by']}" if thing["marked_by"] else ""
+def marked_by(member: dict[str, Any]) -> str:
+    """Returns the end of a status line: who set the drain mark, empty without a mark."""
+    return f", marked by {member['marked_by']}" if member["marked_by"] else ""
 
 
 def main() -> int:
-    told = build_parser().parse_args()
+    options = build_parser().parse_args()
     try:
-        fleet = read_fleet(told.fleet)
+        fleet = read_fleet(options.fleet)
     except InvalidFleetFile as error:
         print(f"embersill.ops: {error}", file=sys.stderr)
         return Result.BAD_USE.value
-    if told.command == "status":
-        result, found = asyncio.run(read_status(fleet))
-        print(json.dumps(found, indent=2)) if told.json else print_status(found)
+    if options.command == "status":
+        result, status = asyncio.run(read_status(fleet))
+        print(json.dumps(status, indent=2)) if options.json else print_status(status)
         return result.value
-    result, why, said = asyncio.run(run_command(told, fleet))
-    if told.json:
-        print(json.dumps({"result": result.name.lower(), "why": why, "said": said}))
-    for line in why:
-        print(f"embersill.ops: {result.name.lower().replace('_', ' ')}: {line}", file=sys.stderr)
+    result, reasons, lines = asyncio.run(run_command(options, fleet))
+    if options.json:
+        print(json.dumps({"result": result.name.lower(), "why": reasons, "said": lines}))
+    for reason in reasons:
+        print(f"embersill.ops: {result.name.lower().replace('_', ' ')}: {reason}", file=sys.stderr)
     return result.value
 
 
--- a/embersill/ops/wire.py
+++ b/embersill/ops/wire.py
@@ -1,4 +1,4 @@
-"""The calls of the procedures: the list service over HTTP, and the gateways' consoles."""
+"""Performs the calls of the procedures: HTTP requests to the list service, commands to gateways' consoles."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
     SetDrainMark,
 )
 
-CONSOLE_TIMEOUT = 2.0  # seconds for a console's answer, which is owed in one
-LIST_TIMEOUT = 3.0  # seconds for the list service's: a write waits for a disk
-LOAD_WINDOW = 2.0  # seconds over which the load is counted: the figures may lag by half of one
-MAX_CONCURRENT_CONSOLES = 50  # consoles asked at a time
-MAX_ANSWER_BYTES = 64 * 1024  # bytes of a console's answer
+CONSOLE_TIMEOUT = 2.0  # seconds; a console has to answer within one
+LIST_TIMEOUT = 3.0  # seconds for the list service: a write waits for its disk
+LOAD_WINDOW = 2.0  # seconds over which attempts are counted; the figures may lag by half a second
+MAX_CONCURRENT_CONSOLES = 50
+MAX_ANSWER_BYTES = 64 * 1024  # of a console
+# Required fields of the answer to each console command, and their types.
 ANSWER_FIELDS: dict[str, dict[str, type | tuple[type, ...]]] = {
     "OUT": {"state": str, "out": int, "list": int},
     "PHASE": {"phase": str, "open": int, "ready": bool, "started": (int, float)},
@@ -38,11 +39,14 @@
 
 
 class OutOfForm(Exception):
-    """An answer that is not what the call's page says."""
+    """An answer that is not in the documented form. The class's name appears in the printed reason."""
 
 
 class FleetClient:
-    """Carries out calls, each with its time limit, and words what went wrong."""
+    """Performs calls, each with a timeout, and turns errors into CallFailed.
+
+    `by` and `reason` are stored with the drain marks that it sets.
+    """
 
     def __init__(self, fleet: Fleet, by: str, reason: str) -> None:
         self.fleet, self.by, self.reason = fleet, by, reason
@@ -60,9 +64,11 @@
         await self.session.close()
 
     async def perform_all(self, calls: Iterable[Call]) -> list[Any]:
+        """Performs the calls concurrently and returns their results in the same order."""
         return list(await asyncio.gather(*(self.perform(call) for call in calls)))
 
     async def perform(self, call: Call) -> Any:
+        """Performs one call; the result is what its class documents."""
         if isinstance(call, Pause):
             return await asyncio.sleep(call.seconds)
         if isinstance(call, ReadLoad):
@@ -84,54 +90,63 @@
 
     # consoles
 
-    async def send_line(self, at: str, line: str) -> str:
-        host, _, port = at.rpartition(":")
+    async def send_line(self, address: str, line: str) -> str:
+        """Sends one line to a console and returns the answer, which ends when the console closes."""
+        host, _, port = address.rpartition(":")
         async with self.console_slots, asyncio.timeout(CONSOLE_TIMEOUT):
             reader, writer = await asyncio.open_connection(host.strip("[]"), int(port))
             try:
                 writer.write(f"{line}\n".encode())
                 answer = b""
-                while len(answer) <= MAX_ANSWER_BYTES and (piece := await reader.read(MAX_ANSWER_BYTES)):
-                    answer += piece
+                while len(answer) <= MAX_ANSWER_BYTES and (received := await reader.read(MAX_ANSWER_BYTES)):
+                    answer += received
             finally:
                 writer.close()
         return answer.decode(errors="replace")
 
     async def send_command(self, call: ConsoleCommand) -> dict[str, Any] | CallFailed:
+        """Sends a command and returns the answer's checked fields; raises OutOfForm if they are not valid."""
         text = (await self.send_line(call.address or self.consoles[call.gateway], call.line)).strip()
-        word, _, rest = text.partition(" ")
-        if word == "error":
+        status, _, rest = text.partition(" ")
+        if status == "error":
             return CallFailed(rest[:200])
-        told = parse_object(rest if word == "done" else "", text)
-        for key, kind in ANSWER_FIELDS[call.line.partition(" ")[0]].items():
-            if not isinstance(told.get(key), kind) or isinstance(told[key], bool) != (kind is bool):
+        fields = parse_object(rest if status == "done" else "", text)
+        for key, expected in ANSWER_FIELDS[call.line.partition(" ")[0]].items():
+            if not isinstance(fields.get(key), expected) or isinstance(fields[key], bool) != (
+                expected is bool
+            ):
                 raise OutOfForm(f"the console's answer has no {key} in its form: {text[:80]!r}")
-        successor = told.get("successor")
+        successor = fields.get("successor")
         if successor is not None and not (
             isinstance(successor, str) and ADDRESS_PATTERN.fullmatch(successor)
         ):
             raise OutOfForm(f"the console names no successor's address: {text[:80]!r}")
-        return told
+        return fields
 
     async def measure_load(self) -> float | None:
-        """Of those that tell, and as much for each that does not."""
-        first, began = await self.read_call_counts(), time.monotonic()
+        """Returns the attempts per second of all gateways, None if none reports its figures.
+
+        A gateway that does not report is assumed to have the average rate of those that do.
+        """
+        first, started_at = await self.read_call_counts(), time.monotonic()
         await asyncio.sleep(LOAD_WINDOW)
-        second, took = await self.read_call_counts(), time.monotonic() - began
-        rates = [max(second[g] - first[g], 0) / took for g in first.keys() & second.keys()]
+        second, elapsed = await self.read_call_counts(), time.monotonic() - started_at
+        rates = [max(second[g] - first[g], 0) / elapsed for g in first.keys() & second.keys()]
         return sum(rates) * len(self.consoles) / len(rates) if rates else None
 
     async def read_call_counts(self) -> dict[str, int]:
-        made = {}
-        for name, told in zip(
+        """Returns the number of attempts so far by gateway, without the gateways that do not report it."""
+        counts = {}
+        for name, figures in zip(
             self.consoles, await asyncio.gather(*map(self.read_metrics, self.consoles)), strict=True
         ):
-            calls = told.get("backend_calls")
+            calls = figures.get("backend_calls")
             if isinstance(calls, int):
-                made[name] = calls
-        return made
+                counts[name] = calls
+        return counts
 
     async def read_metrics(self, gateway: str) -> dict[str, Any]:
+        """Returns a gateway's figures, empty if they cannot be read."""
         try:
             text = await self.send_line(self.consoles[gateway], "METRICS")
             return parse_object(text.partition("\n")[0], text)
@@ -141,12 +156,15 @@
     # the list service
 
     async def read_list(self) -> InstanceList | CallFailed:
-        """From the first address that answers: a copy does, as the guard's word is checked with the write."""
+        """Reads instances and drain marks from the first address that answers, leader or follower.
+
+        A follower's list may be old: a mark is written only if the leader's list is still at that generation.
+        """
         instances = await self.request("GET", "/v1/instances")
         drains = await self.request("GET", "/v1/drains")
         if isinstance(instances, CallFailed) or isinstance(drains, CallFailed):
             return CallFailed(
-                next(told.reason for told in (instances, drains) if isinstance(told, CallFailed))
+                next(answer.reason for answer in (instances, drains) if isinstance(answer, CallFailed))
             )
         try:
             backends = {
@@ -161,22 +179,24 @@
                 for i in instances["instances"]
             }
             marks = {d["instanceId"]: (str(d["drain"]["by"]), int(d["version"])) for d in drains["drains"]}
-            # what changed between the two reads must not pass for having been seen
+            # The lower generation, as a change between the two reads may be missing from the first.
             return InstanceList(min(int(instances["generation"]), int(drains["generation"])), backends, marks)
         except (KeyError, TypeError, ValueError) as error:
             raise OutOfForm(f"the list: {error!r}") from error
 
     async def set_drain_mark(self, call: SetDrainMark) -> int | Conflict | CallFailed:
-        rests = {"If-None-Match": "*"} if call.version is None else {"If-Match": f'"{call.version}"'}
-        told = await self.request(
+        """Sets a drain mark, conditional on the instance's version and the list's generation."""
+        condition = {"If-None-Match": "*"} if call.version is None else {"If-Match": f'"{call.version}"'}
+        answer = await self.request(
             "PUT",
             f"/v1/instances/{call.id}/drain",
             {"by": self.by, "reason": self.reason},
-            {**rests, "List-Match": f'"{call.generation}"'},
+            {**condition, "List-Match": f'"{call.generation}"'},
         )
-        return told if isinstance(told, Conflict | CallFailed) else int(told["version"])
+        return answer if isinstance(answer, Conflict | CallFailed) else int(answer["version"])
 
     async def clear_drain_mark(self, call: ClearDrainMark) -> Any:
+        """Clears a drain mark, conditional on its version."""
         return await self.request(
             "DELETE", f"/v1/instances/{call.id}/drain", None, {"If-Match": f'"{call.version}"'}
         )
@@ -188,36 +208,41 @@
         body: dict[str, Any] | None = None,
         headers: dict[str, str] | None = None,
     ) -> Any:
-        """At one address after the other: some may be down, or copies that take no writes."""
-        why = []
-        for where in self.fleet.directory:
+        """Tries the list service's addresses in order; some may be down, or followers, which reject writes.
+
+        Returns the answer's JSON object, Conflict if a condition of the request is not met, or CallFailed.
+        """
+        failures = []
+        for address in self.fleet.directory:
             try:
                 async with self.session.request(
-                    method, f"http://{where}{path}", json=body, headers=headers
+                    method, f"http://{address}{path}", json=body, headers=headers
                 ) as answer:
                     text = (await answer.read()).decode(errors="replace")
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
-                why.append(f"{where}: {' '.join(str(error).split()) or 'no answer in time'}")
+                failures.append(f"{address}: {' '.join(str(error).split()) or 'no answer in time'}")
                 continue
             if answer.status in (200, 201):
                 return parse_object(text, text)
             if answer.status == 412:
                 return Conflict(error_text(text))
-            why.append(f"{where}: {answer.status} {error_text(text)}")
-        return CallFailed("; ".join(why))
+            failures.append(f"{address}: {answer.status} {error_text(text)}")
+        return CallFailed("; ".join(failures))
 
 
 def parse_object(text: str, shown: str) -> dict[str, Any]:
+    """Parses a JSON object; raises OutOfForm, which quotes the start of `shown`."""
     try:
-        told = json.loads(text)
+        parsed = json.loads(text)
     except ValueError:
-        told = None
-    if not isinstance(told, dict):
+        parsed = None
+    if not isinstance(parsed, dict):
         raise OutOfForm(f"an answer out of form: {shown[:80]!r}")
-    return told
+    return parsed
 
 
 def error_text(text: str) -> str:
+    """Returns the "error" field of a JSON answer, or the start of an answer of another form."""
     try:
         return str(json.loads(text)["error"])
     except (ValueError, KeyError, TypeError):
