--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' procedures on a scripted fleet and clock, their guards, and the fleet file."""
+"""The operators' procedures on a simulated fleet and clock, their guards, and the fleet file."""
 
 from __future__ import annotations
 
@@ -44,23 +44,22 @@
 
 
 class SimulatedFleet:
-    """A list service and gateways that do as they are scripted; time passes only in pauses."""
+    """A list service and gateways with scripted answers; the clock advances only in pauses."""
 
     def __init__(self, backends: int = 6) -> None:
         self.now, self.generation, self.load = 100.0, 50, 5.0
         self.backends = {f"b{n}": ListedBackend("SERVING", "z", n % 2, 1.0, 10 + n) for n in range(backends)}
         self.marks: dict[str, tuple[str, int]] = {}
         self.attempts_in_flight = {f"n{n}": 0 for n in range(3)}
-        self.with_old_list: set[str] = set()  # gateways with the list of the beginning
+        self.with_old_list: set[str] = set()  # gateways whose list is that of the start
         self.phases: dict[str, list[Any]] = {f"n{n}": ["serving"] for n in range(3)}
         self.started = {f"n{n}": 1.0 for n in range(3)}
         self.call_failures: dict[str, CallFailed] = {}
         self.successors: dict[str, str] = {}  # by a gateway's name, or the console of a later process of it
         self.list_down = False
         self.calls: list[Call] = []
-        self.before_call: Callable[[Call], None] = (
-            lambda call: None
-        )  # what happens just before a call arrives
+        # Called before each call is answered, to change the fleet's state.
+        self.before_call: Callable[[Call], None] = lambda call: None
 
     def answer(self, call: Call) -> Any:
         self.before_call(call)
@@ -101,12 +100,12 @@
         return {}
 
     def answer_of_console(self, gateway: str, line: str) -> Any:
-        told = self.answer_of_process(gateway, line)
-        if gateway in self.successors and not isinstance(told, CallFailed):
+        answer = self.answer_of_process(gateway, line)
+        if gateway in self.successors and not isinstance(answer, CallFailed):
             if line == "DRAIN":
                 return CallFailed(f"handed over to a successor {self.successors[gateway]}")
-            told["successor"] = self.successors[gateway]
-        return told
+            answer["successor"] = self.successors[gateway]
+        return answer
 
     def answer_of_process(self, gateway: str, line: str) -> Any:
         if line.startswith("OUT"):
@@ -137,14 +136,14 @@
         }
 
 
-def run_procedure(procedure: Procedure, world: SimulatedFleet, most: int = 10**6) -> Result:
-    """To its end, or until it is killed after so many rounds."""
+def run_procedure(procedure: Procedure, fleet: SimulatedFleet, max_rounds: int = 10**6) -> Result:
+    """Runs a procedure to its end, or raises KeyboardInterrupt after `max_rounds`, as if it was killed."""
     rounds = procedure.run()
     try:
         calls = next(rounds)
-        for _ in range(most):
-            results = [world.answer(call) for call in calls]
-            calls = rounds.send((world.now, results))
+        for _ in range(max_rounds):
+            results = [fleet.answer(call) for call in calls]
+            calls = rounds.send((fleet.now, results))
     except StopIteration:
         return Result.DONE
     except ProcedureEnded as end:
@@ -153,9 +152,9 @@
     raise KeyboardInterrupt
 
 
-def make_job(backends: list[str], gateways: list[str], **more: Any) -> tuple[Job, list[str]]:
-    said: list[str] = []
-    return Job(make_fleet(), backends, gateways, report=said.append, **more), said
+def make_job(backends: list[str], gateways: list[str], **options: Any) -> tuple[Job, list[str]]:
+    reported: list[str] = []
+    return Job(make_fleet(), backends, gateways, report=reported.append, **options), reported
 
 
 def make_fleet() -> Fleet:
@@ -163,140 +162,141 @@
 
 
 def run_drain(
-    world: SimulatedFleet, backends: list[str], gateways: list[str], **more: Any
+    fleet: SimulatedFleet, backends: list[str], gateways: list[str], **options: Any
 ) -> tuple[Result, list[str]]:
-    made, said = make_job(backends, gateways, **more)
-    return run_procedure(Drain(made, world.now), world), said
+    job, reported = make_job(backends, gateways, **options)
+    return run_procedure(Drain(job, fleet.now), fleet), reported
 
 
 # backends
 
 
-def test_a_backend_is_empty_once_all_gateways_say_so_in_one_round() -> None:
-    world = SimulatedFleet()
-    world.attempts_in_flight["n1"], world.with_old_list = 3, {"n2"}
+def test_a_backend_is_empty_once_all_gateways_report_so_in_the_same_round() -> None:
+    fleet = SimulatedFleet()
+    fleet.attempts_in_flight["n1"], fleet.with_old_list = 3, {"n2"}
 
-    def goes_on(call: Call) -> None:
+    def finish_an_attempt(call: Call) -> None:
         if isinstance(call, Pause):
-            world.attempts_in_flight["n1"] -= 1
-            if world.attempts_in_flight["n1"] == 0:
-                world.with_old_list.clear()
-                world.attempts_in_flight["n0"] = 0
-
-    world.before_call = goes_on
-    result, said = run_drain(world, ["b0"], [])
-    assert result is Result.DONE and world.now > 100 and world.backends["b0"].lifecycle == "DRAINING"
-    assert any("3 out" in line for line in said) and "empty" in said[-1]
-
-
-def test_a_gateway_that_can_not_be_asked_is_named_and_not_counted_as_empty() -> None:
-    world = SimulatedFleet()
-    world.call_failures["n2"] = CallFailed("no answer in time")
-    result, said = run_drain(world, ["b0"], [], timeout=5.0)
-    assert result is Result.TIMED_OUT and "b0 at n2: can't be asked" in said[-1] and "n1" not in said[-1]
-    assert "b0" in world.marks  # all stays as it is
-    world.call_failures["n2"] = CallFailed(
-        "nothing listens", connection_refused=True
-    )  # it may be starting, with an old list
-    assert run_drain(world, ["b0"], [], timeout=5.0)[0] is Result.TIMED_OUT
-    world.set_mark(GATEWAY_PREFIX + "n2", "ann")  # drained before: it has ended
-    assert run_drain(world, ["b0"], [], timeout=5.0)[0] is Result.DONE
+            fleet.attempts_in_flight["n1"] -= 1
+            if fleet.attempts_in_flight["n1"] == 0:
+                fleet.with_old_list.clear()
+                fleet.attempts_in_flight["n0"] = 0
+
+    fleet.before_call = finish_an_attempt
+    result, reported = run_drain(fleet, ["b0"], [])
+    assert result is Result.DONE and fleet.now > 100 and fleet.backends["b0"].lifecycle == "DRAINING"
+    assert any("3 out" in line for line in reported) and "empty" in reported[-1]
+
+
+def test_a_gateway_that_cannot_be_asked_is_reported_and_not_counted_as_empty() -> None:
+    fleet = SimulatedFleet()
+    fleet.call_failures["n2"] = CallFailed("no answer in time")
+    result, reported = run_drain(fleet, ["b0"], [], timeout=5.0)
+    assert (
+        result is Result.TIMED_OUT and "b0 at n2: can't be asked" in reported[-1] and "n1" not in reported[-1]
+    )
+    assert "b0" in fleet.marks  # the drain goes on
+    # It may be starting, with an old list.
+    fleet.call_failures["n2"] = CallFailed("nothing listens", connection_refused=True)
+    assert run_drain(fleet, ["b0"], [], timeout=5.0)[0] is Result.TIMED_OUT
+    fleet.set_mark(GATEWAY_PREFIX + "n2", "ann")  # it was drained, so it has ended
+    assert run_drain(fleet, ["b0"], [], timeout=5.0)[0] is Result.DONE
 
 
 def test_an_old_list_is_not_counted_as_empty() -> None:
-    world = SimulatedFleet()
-    world.with_old_list = {"n0"}
-    result, said = run_drain(world, ["b0"], [], timeout=3.0)
-    assert result is Result.TIMED_OUT and "old list" in said[-1]
+    fleet = SimulatedFleet()
+    fleet.with_old_list = {"n0"}
+    result, reported = run_drain(fleet, ["b0"], [], timeout=3.0)
+    assert result is Result.TIMED_OUT and "old list" in reported[-1]
 
 
-def test_no_gateway_at_all_and_no_list_are_an_unreachable_fleet() -> None:
-    world = SimulatedFleet()
-    world.call_failures = {name: CallFailed("no answer in time") for name in world.attempts_in_flight}
-    assert run_drain(world, ["b0"], [])[0] is Result.UNREACHABLE
-    world = SimulatedFleet()
-    world.list_down = True
-    assert run_drain(world, ["b0"], [])[0] is Result.UNREACHABLE and not world.marks
+def test_without_any_gateway_or_without_the_list_the_fleet_is_unreachable() -> None:
+    fleet = SimulatedFleet()
+    fleet.call_failures = {name: CallFailed("no answer in time") for name in fleet.attempts_in_flight}
+    assert run_drain(fleet, ["b0"], [])[0] is Result.UNREACHABLE
+    fleet = SimulatedFleet()
+    fleet.list_down = True
+    assert run_drain(fleet, ["b0"], [])[0] is Result.UNREACHABLE and not fleet.marks
 
 
-def test_the_list_may_be_away_once_the_mark_is_there() -> None:
-    world = SimulatedFleet()
-    world.attempts_in_flight["n0"] = 2
+def test_a_drain_goes_on_without_the_list_once_the_mark_is_set() -> None:
+    fleet = SimulatedFleet()
+    fleet.attempts_in_flight["n0"] = 2
 
-    def goes_on(call: Call) -> None:
+    def finish_an_attempt(call: Call) -> None:
         if isinstance(call, Pause):
-            world.list_down = True
-            world.attempts_in_flight["n0"] -= 1
+            fleet.list_down = True
+            fleet.attempts_in_flight["n0"] -= 1
 
-    world.before_call = goes_on
-    assert run_drain(world, ["b0"], [])[0] is Result.DONE
+    fleet.before_call = finish_an_attempt
+    assert run_drain(fleet, ["b0"], [])[0] is Result.DONE
 
 
-def test_an_undrain_before_it_is_done_ends_the_drain() -> None:
-    world = SimulatedFleet()
-    world.attempts_in_flight["n0"] = 2
+def test_an_undrain_by_another_operator_ends_the_drain() -> None:
+    fleet = SimulatedFleet()
+    fleet.attempts_in_flight["n0"] = 2
 
-    def undrained(call: Call) -> None:
-        if isinstance(call, Pause) and "b0" in world.marks:
-            assert run_procedure(Undrain(make_job(["b0"], [])[0], world.now), world) is Result.DONE
+    def undrain(call: Call) -> None:
+        if isinstance(call, Pause) and "b0" in fleet.marks:
+            assert run_procedure(Undrain(make_job(["b0"], [])[0], fleet.now), fleet) is Result.DONE
 
-    world.before_call = undrained
-    result, said = run_drain(world, ["b0"], [])
-    assert result is Result.FAILED and "undrained" in said[-1]
+    fleet.before_call = undrain
+    result, reported = run_drain(fleet, ["b0"], [])
+    assert result is Result.FAILED and "undrained" in reported[-1]
 
 
-def test_of_two_operators_only_one_passes_the_guard() -> None:
-    world = SimulatedFleet(2)
-    world.load = 4.0  # one of two may go
+def test_of_two_concurrent_drains_only_one_passes_the_guard() -> None:
+    fleet = SimulatedFleet(2)
+    fleet.load = 4.0  # one of two may be drained
     other = make_job(["b1"], [])[0]
 
-    def meanwhile(call: Call) -> None:
+    def drain_the_other(call: Call) -> None:
         if isinstance(call, SetDrainMark) and call.id == "b0":
-            world.before_call = lambda call: None
-            assert run_procedure(Drain(other, world.now), world) is Result.DONE
+            fleet.before_call = lambda call: None
+            assert run_procedure(Drain(other, fleet.now), fleet) is Result.DONE
 
-    world.backends = {id: replace(b, cell=0) for id, b in world.backends.items()}
-    world.before_call = meanwhile
-    result, said = run_drain(world, ["b0"], [])
-    assert result is Result.REFUSED and list(world.marks) == ["b1"]
+    fleet.backends = {id: replace(b, cell=0) for id, b in fleet.backends.items()}
+    fleet.before_call = drain_the_other
+    result, reported = run_drain(fleet, ["b0"], [])
+    assert result is Result.REFUSED and list(fleet.marks) == ["b1"]
 
 
-def test_a_list_that_never_stands_still_is_given_up() -> None:
-    world = SimulatedFleet()
+def test_a_drain_is_refused_if_the_list_keeps_changing() -> None:
+    fleet = SimulatedFleet()
 
-    def changes(call: Call) -> None:
+    def change_the_list(call: Call) -> None:
         if isinstance(call, SetDrainMark):
-            world.generation += 1
+            fleet.generation += 1
 
-    world.before_call = changes
-    result, said = run_drain(world, ["b0"], [])
-    assert result is Result.REFUSED and "kept changing" in said[-1] and not world.marks
+    fleet.before_call = change_the_list
+    result, reported = run_drain(fleet, ["b0"], [])
+    assert result is Result.REFUSED and "kept changing" in reported[-1] and not fleet.marks
 
 
-def test_force_passes_the_guard_and_says_so_and_a_dry_run_changes_nothing() -> None:
-    world = SimulatedFleet(1)
-    assert run_drain(world, ["b0"], [])[0] is Result.REFUSED
-    assert run_drain(world, ["b0"], [], force=True, dry_run=True)[0] is Result.DONE and not world.marks
-    result, said = run_drain(world, ["b0"], [], force=True)
-    assert result is Result.DONE and said[0].startswith("forced, though 0 backends would serve")
+def test_force_overrides_the_guard_with_a_report_and_a_dry_run_changes_nothing() -> None:
+    fleet = SimulatedFleet(1)
+    assert run_drain(fleet, ["b0"], [])[0] is Result.REFUSED
+    assert run_drain(fleet, ["b0"], [], force=True, dry_run=True)[0] is Result.DONE and not fleet.marks
+    result, reported = run_drain(fleet, ["b0"], [], force=True)
+    assert result is Result.DONE and reported[0].startswith("forced, though 0 backends would serve")
 
 
-def test_what_is_not_in_the_list_is_bad_use() -> None:
-    world = SimulatedFleet()
-    assert run_drain(world, ["nobody"], [])[0] is Result.BAD_USE and not world.marks
-    assert run_procedure(Undrain(make_job(["nobody"], [])[0], 0.0), world) is Result.BAD_USE
+def test_an_id_that_is_not_in_the_list_is_bad_use() -> None:
+    fleet = SimulatedFleet()
+    assert run_drain(fleet, ["nobody"], [])[0] is Result.BAD_USE and not fleet.marks
+    assert run_procedure(Undrain(make_job(["nobody"], [])[0], 0.0), fleet) is Result.BAD_USE
 
 
 # gateways and machines
 
 
-def test_a_gateway_ends_with_its_last_word() -> None:
-    world = SimulatedFleet()
-    result, said = run_drain(world, [], ["n1"])
+def test_a_gateway_is_drained_once_it_answers_that_it_is_empty() -> None:
+    fleet = SimulatedFleet()
+    result, reported = run_drain(fleet, [], ["n1"])
     assert (
         result is Result.DONE
-        and GATEWAY_PREFIX + "n1" in world.marks
-        and said[-1] == "n1 ends, with nothing open"
+        and GATEWAY_PREFIX + "n1" in fleet.marks
+        and reported[-1] == "n1 ends, with nothing open"
     )
 
 
@@ -307,194 +307,199 @@
         (["lame duck", "serving"], "undrained"),
     ],
 )
-def test_a_gateway_that_dies_or_is_taken_back_half_way_is_told(phases: list[Any], why: str) -> None:
-    world = SimulatedFleet()
+def test_a_gateway_that_crashes_or_is_undrained_during_its_drain_is_reported(
+    phases: list[Any], why: str
+) -> None:
+    fleet = SimulatedFleet()
 
-    def begins(call: Call) -> None:
+    def start_phases(call: Call) -> None:
         if isinstance(call, ConsoleCommand) and (call.gateway, call.line) == ("n1", "DRAIN"):
-            world.phases["n1"] = list(phases)
+            fleet.phases["n1"] = list(phases)
 
-    world.before_call = begins
-    result, said = run_drain(world, [], ["n1"])
-    assert result is Result.FAILED and why in said[-1]
+    fleet.before_call = start_phases
+    result, reported = run_drain(fleet, [], ["n1"])
+    assert result is Result.FAILED and why in reported[-1]
 
 
-def test_a_gateway_that_is_started_again_half_way_is_told() -> None:
-    world = SimulatedFleet()
+def test_a_gateway_that_is_restarted_during_its_drain_is_reported() -> None:
+    fleet = SimulatedFleet()
 
-    def again(call: Call) -> None:
+    def restart(call: Call) -> None:
         if isinstance(call, Pause):
-            world.started["n1"] = 2.0
+            fleet.started["n1"] = 2.0
 
-    world.before_call = again
-    result, said = run_drain(world, [], ["n1"])
-    assert result is Result.FAILED and "started again" in said[-1]
+    fleet.before_call = restart
+    result, reported = run_drain(fleet, [], ["n1"])
+    assert result is Result.FAILED and "started again" in reported[-1]
 
 
-SUCCESSOR_CONSOLE = "127.0.0.1:9101"  # the console of a successor
+SUCCESSOR_CONSOLE = "127.0.0.1:9101"
 NOT_RUNNING = CallFailed("refused", connection_refused=True)
 
 
-def hand_over(world: SimulatedFleet, phases: list[Any], old: list[Any]) -> None:
-    """From now on n1 is handed over to a process that is as scripted."""
+def hand_over(fleet: SimulatedFleet, phases: list[Any], old: list[Any]) -> None:
+    """Hands n1 over to a successor with these phases; `old` are the phases of n1's first process."""
     (
-        world.phases[SUCCESSOR_CONSOLE],
-        world.started[SUCCESSOR_CONSOLE],
-        world.attempts_in_flight[SUCCESSOR_CONSOLE],
+        fleet.phases[SUCCESSOR_CONSOLE],
+        fleet.started[SUCCESSOR_CONSOLE],
+        fleet.attempts_in_flight[SUCCESSOR_CONSOLE],
     ) = phases, 2.0, 0
-    world.phases["n1"], world.successors["n1"] = old, SUCCESSOR_CONSOLE
+    fleet.phases["n1"], fleet.successors["n1"] = old, SUCCESSOR_CONSOLE
 
 
 def test_a_lame_duck_that_is_handed_over_is_followed_to_the_end_of_its_successor() -> None:
-    world = SimulatedFleet()
+    fleet = SimulatedFleet()
 
-    def upgrades(call: Call) -> None:
-        if isinstance(call, Pause) and not world.successors:
-            hand_over(world, ["lame duck", "closing", "empty"], ["handed over", "handed over", NOT_RUNNING])
+    def upgrade(call: Call) -> None:
+        if isinstance(call, Pause) and not fleet.successors:
+            hand_over(fleet, ["lame duck", "closing", "empty"], ["handed over", "handed over", NOT_RUNNING])
 
-    world.before_call = upgrades
-    result, said = run_drain(world, [], ["n1"])
-    assert result is Result.DONE, said
-    assert f"n1 was handed over to a successor, with its console at {SUCCESSOR_CONSOLE}" in said
-    assert said[-1] == "n1 ends, with nothing open" and not world.phases["n1"][1:]
+    fleet.before_call = upgrade
+    result, reported = run_drain(fleet, [], ["n1"])
+    assert result is Result.DONE, reported
+    assert f"n1 was handed over to a successor, with its console at {SUCCESSOR_CONSOLE}" in reported
+    assert reported[-1] == "n1 ends, with nothing open" and not fleet.phases["n1"][1:]
 
 
-def test_a_successor_that_ends_before_its_predecessor_is_not_the_end() -> None:
-    world = SimulatedFleet()
+def test_a_drain_is_not_done_when_only_the_successor_has_ended() -> None:
+    fleet = SimulatedFleet()
 
-    def upgrades(call: Call) -> None:
-        if isinstance(call, Pause) and world.phases["n1"][0] == "closing":
-            hand_over(world, ["empty", NOT_RUNNING], ["handed over", "handed over", "handed over"])
-        elif isinstance(call, Pause) and world.phases["n1"] == ["handed over"] and world.successors:
-            world.successors, world.phases["n1"] = {}, ["lame duck", "empty"]  # it has taken it back
+    def upgrade(call: Call) -> None:
+        if isinstance(call, Pause) and fleet.phases["n1"][0] == "closing":
+            hand_over(fleet, ["empty", NOT_RUNNING], ["handed over", "handed over", "handed over"])
+        elif isinstance(call, Pause) and fleet.phases["n1"] == ["handed over"] and fleet.successors:
+            fleet.successors, fleet.phases["n1"] = (
+                {},
+                ["lame duck", "empty"],
+            )  # the old process has taken the gateway back
 
-    world.before_call = upgrades
-    result, said = run_drain(world, [], ["n1"])
-    assert result is Result.DONE and said[-1] == "n1 ends, with nothing open"
-    assert "waiting: n1 is empty with 0 open" in said and world.phases["n1"] == ["empty"]
+    fleet.before_call = upgrade
+    result, reported = run_drain(fleet, [], ["n1"])
+    assert result is Result.DONE and reported[-1] == "n1 ends, with nothing open"
+    assert "waiting: n1 is empty with 0 open" in reported and fleet.phases["n1"] == ["empty"]
 
 
 def test_the_command_run_again_after_an_upgrade_finds_the_successor() -> None:
-    world, memory = SimulatedFleet(), dict[str, Any]()
+    fleet, saved_state = SimulatedFleet(), dict[str, Any]()
 
-    def upgrades(call: Call) -> None:
-        if isinstance(call, Pause) and not world.successors:
-            hand_over(world, ["lame duck"] * 9, ["handed over"])
+    def upgrade(call: Call) -> None:
+        if isinstance(call, Pause) and not fleet.successors:
+            hand_over(fleet, ["lame duck"] * 9, ["handed over"])
         elif isinstance(call, Pause):
             raise KeyboardInterrupt  # the command is killed
 
-    world.before_call = upgrades
+    fleet.before_call = upgrade
     with pytest.raises(KeyboardInterrupt):
-        run_procedure(Drain(make_job([], ["n1"], memory=memory)[0], world.now), world)
-    world.before_call = lambda call: None
-    world.call_failures["n1"], world.phases[SUCCESSOR_CONSOLE] = (
+        run_procedure(Drain(make_job([], ["n1"], saved_state=saved_state)[0], fleet.now), fleet)
+    fleet.before_call = lambda call: None
+    fleet.call_failures["n1"], fleet.phases[SUCCESSOR_CONSOLE] = (
         NOT_RUNNING,
         ["lame duck", "lame duck", "empty"],
     )
-    again, said = make_job([], ["n1"], memory=memory)
-    assert run_procedure(Drain(again, world.now), world) is Result.DONE and said[-1].startswith("n1 ends")
-    back, said = make_job([], ["n1"], memory=memory)
-    assert run_procedure(Undrain(back, world.now), world) is Result.DONE and world.phases[
+    second_job, reported = make_job([], ["n1"], saved_state=saved_state)
+    assert run_procedure(Drain(second_job, fleet.now), fleet) is Result.DONE and reported[-1].startswith(
+        "n1 ends"
+    )
+    undrain_job, reported = make_job([], ["n1"], saved_state=saved_state)
+    assert run_procedure(Undrain(undrain_job, fleet.now), fleet) is Result.DONE and fleet.phases[
         SUCCESSOR_CONSOLE
     ] == ["serving"]
 
 
-def test_a_process_started_beside_one_that_closes_is_told() -> None:
-    world = SimulatedFleet()
+def test_a_new_process_beside_a_closing_one_fails_the_drain() -> None:
+    fleet = SimulatedFleet()
 
-    def starts(call: Call) -> None:
+    def start_another(call: Call) -> None:
         if isinstance(call, Pause):
-            hand_over(world, ["serving"], ["closing"])
+            hand_over(fleet, ["serving"], ["closing"])
 
-    world.before_call = starts
-    result, said = run_drain(world, [], ["n1"])
-    assert result is Result.FAILED and f"another process was started at {SUCCESSOR_CONSOLE}" in said[-1]
+    fleet.before_call = start_another
+    result, reported = run_drain(fleet, [], ["n1"])
+    assert result is Result.FAILED and f"another process was started at {SUCCESSOR_CONSOLE}" in reported[-1]
 
 
-def test_a_backend_is_not_empty_before_a_gateways_successor_says_so_too() -> None:
-    world = SimulatedFleet()
-    hand_over(world, ["serving"], ["handed over"])
-    world.attempts_in_flight[SUCCESSOR_CONSOLE] = 1
-    result, said = run_drain(world, ["b0"], [], timeout=5.0)
-    assert result is Result.TIMED_OUT and "b0 at n1: 1 out" in said[-1]
-    world.attempts_in_flight[SUCCESSOR_CONSOLE], world.attempts_in_flight["n1"] = 0, 1
-    assert run_drain(world, ["b0"], [], timeout=5.0)[0] is Result.TIMED_OUT
-    world.attempts_in_flight["n1"] = 0
-    assert run_drain(world, ["b0"], [], timeout=5.0)[0] is Result.DONE
+def test_a_backend_is_not_empty_before_a_gateways_successor_reports_so_too() -> None:
+    fleet = SimulatedFleet()
+    hand_over(fleet, ["serving"], ["handed over"])
+    fleet.attempts_in_flight[SUCCESSOR_CONSOLE] = 1
+    result, reported = run_drain(fleet, ["b0"], [], timeout=5.0)
+    assert result is Result.TIMED_OUT and "b0 at n1: 1 out" in reported[-1]
+    fleet.attempts_in_flight[SUCCESSOR_CONSOLE], fleet.attempts_in_flight["n1"] = 0, 1
+    assert run_drain(fleet, ["b0"], [], timeout=5.0)[0] is Result.TIMED_OUT
+    fleet.attempts_in_flight["n1"] = 0
+    assert run_drain(fleet, ["b0"], [], timeout=5.0)[0] is Result.DONE
 
 
-def test_a_gateway_that_can_not_be_asked_at_first_is_left_alone() -> None:
-    world = SimulatedFleet()
-    world.call_failures["n1"] = CallFailed("an answer out of form")
-    result, said = run_drain(world, [], ["n1"])
-    assert result is Result.UNREACHABLE and not world.marks
+def test_a_gateway_that_cannot_be_asked_at_first_is_not_marked() -> None:
+    fleet = SimulatedFleet()
+    fleet.call_failures["n1"] = CallFailed("an answer out of form")
+    result, reported = run_drain(fleet, [], ["n1"])
+    assert result is Result.UNREACHABLE and not fleet.marks
 
 
 def test_the_last_ready_gateway_is_not_drained() -> None:
-    world = SimulatedFleet()
-    assert run_drain(world, [], ["n0"])[0] is Result.DONE
-    assert run_drain(world, [], ["n1"])[0] is Result.DONE
-    assert run_drain(world, [], ["n2"])[0] is Result.REFUSED and world.phases["n2"] == ["serving"]
+    fleet = SimulatedFleet()
+    assert run_drain(fleet, [], ["n0"])[0] is Result.DONE
+    assert run_drain(fleet, [], ["n1"])[0] is Result.DONE
+    assert run_drain(fleet, [], ["n2"])[0] is Result.REFUSED and fleet.phases["n2"] == ["serving"]
 
 
-def test_a_machine_goes_backends_first_and_the_whole_of_it_under_one_guard() -> None:
-    world = SimulatedFleet()
-    result, said = run_drain(world, ["b0", "b1"], ["n0"])
-    assert result is Result.DONE and list(world.marks) == ["b0", "b1", GATEWAY_PREFIX + "n0"]
-    world = SimulatedFleet(3)
-    world.load = 6.0  # one may go, two may not
-    assert run_drain(world, ["b0", "b1"], ["n0"])[0] is Result.REFUSED and not world.marks
+def test_a_machine_is_drained_backends_first_and_all_of_them_under_one_guard() -> None:
+    fleet = SimulatedFleet()
+    result, reported = run_drain(fleet, ["b0", "b1"], ["n0"])
+    assert result is Result.DONE and list(fleet.marks) == ["b0", "b1", GATEWAY_PREFIX + "n0"]
+    fleet = SimulatedFleet(3)
+    fleet.load = 6.0  # one may be drained, two may not
+    assert run_drain(fleet, ["b0", "b1"], ["n0"])[0] is Result.REFUSED and not fleet.marks
 
 
-@pytest.mark.parametrize("most", range(0, 14))
-def test_killed_after_any_round_and_run_again_it_comes_to_the_same_end(most: int) -> None:
-    world, memory = SimulatedFleet(), dict[str, Any]()
-    world.attempts_in_flight["n1"] = 2
+@pytest.mark.parametrize("max_rounds", range(0, 14))
+def test_a_drain_killed_after_any_round_and_run_again_has_the_same_result(max_rounds: int) -> None:
+    fleet, saved_state = SimulatedFleet(), dict[str, Any]()
+    fleet.attempts_in_flight["n1"] = 2
 
-    def goes_on(call: Call) -> None:
+    def finish_an_attempt(call: Call) -> None:
         if isinstance(call, Pause):
-            world.attempts_in_flight["n1"] = max(world.attempts_in_flight["n1"] - 1, 0)
+            fleet.attempts_in_flight["n1"] = max(fleet.attempts_in_flight["n1"] - 1, 0)
 
-    world.before_call = goes_on
-    made = make_job(["b0", "b1"], ["n0"], memory=memory)[0]
+    fleet.before_call = finish_an_attempt
+    job = make_job(["b0", "b1"], ["n0"], saved_state=saved_state)[0]
     try:
-        run_procedure(Drain(made, world.now), world, most)
+        run_procedure(Drain(job, fleet.now), fleet, max_rounds)
     except KeyboardInterrupt:
         pass
-    again, said = make_job(["b0", "b1"], ["n0"], memory=memory)
-    result = run_procedure(Drain(again, world.now), world)
+    second_job, reported = make_job(["b0", "b1"], ["n0"], saved_state=saved_state)
+    result = run_procedure(Drain(second_job, fleet.now), fleet)
     assert (
-        list(world.marks) == ["b0", "b1", GATEWAY_PREFIX + "n0"]
-        and world.backends["b1"].lifecycle == "DRAINING"
+        list(fleet.marks) == ["b0", "b1", GATEWAY_PREFIX + "n0"]
+        and fleet.backends["b1"].lifecycle == "DRAINING"
     )
-    assert result is Result.DONE, said
-    assert [c for c in world.calls if isinstance(c, SetDrainMark)] == [
+    assert result is Result.DONE, reported
+    assert [c for c in fleet.calls if isinstance(c, SetDrainMark)] == [
         SetDrainMark("b0", 10, 50),
         SetDrainMark("b1", 11, 51),
         SetDrainMark(GATEWAY_PREFIX + "n0", None, 52),
     ]
 
 
-def test_undrain_puts_all_back_also_before_the_drain_is_done() -> None:
-    world, memory = SimulatedFleet(), dict[str, Any]()
-    made = make_job(["b0"], ["n0"], memory=memory, wait=False)[0]
-    assert (
-        run_procedure(Drain(made, world.now), world) is Result.DONE and world.phases["n0"][0] == "lame duck"
-    )
-    again, said = make_job(["b0"], ["n0"], memory=memory)
-    assert run_procedure(Undrain(again, world.now), world) is Result.DONE
-    assert not world.marks and world.phases["n0"] == ["serving"] and not memory
+def test_undrain_restores_everything_also_before_the_drain_is_done() -> None:
+    fleet, saved_state = SimulatedFleet(), dict[str, Any]()
+    job = make_job(["b0"], ["n0"], saved_state=saved_state, wait=False)[0]
+    assert run_procedure(Drain(job, fleet.now), fleet) is Result.DONE and fleet.phases["n0"][0] == "lame duck"
+    second_job, reported = make_job(["b0"], ["n0"], saved_state=saved_state)
+    assert run_procedure(Undrain(second_job, fleet.now), fleet) is Result.DONE
+    assert not fleet.marks and fleet.phases["n0"] == ["serving"] and not saved_state
 
 
 # guards
 
 
 def make_list(*backends: tuple[str, int, str, float]) -> InstanceList:
-    made = {
+    backends_by_id = {
         f"b{n}": ListedBackend(life, zone, cell, weight, 1)
         for n, (life, cell, zone, weight) in enumerate(backends)
     }
-    return InstanceList(1, made, {})
+    return InstanceList(1, backends_by_id, {})
 
 
 S, D = "SERVING", "DRAINING"
@@ -511,17 +516,17 @@
         ([(S, 0, "a", 1.0), (S, 0, "a", 1.0)], ["b0", "b1"], 0.0, "0 backends would serve"),
         ([(S, 0, "a", 1.0), (S, 1, "a", 1.0)], ["b0"], 0.0, "cell 0 would have 0"),
         ([(S, 0, "a", 1.0), (S, 0, "b", 1.0)], ["b0"], 0.0, "zone 'a' would have 0"),
-        ([(S, 0, "a", 1.0), (D, 1, "b", 1.0)], ["b1"], 99.0, ""),  # it serves no more: nothing is taken away
+        ([(S, 0, "a", 1.0), (D, 1, "b", 1.0)], ["b1"], 99.0, ""),  # not serving: no capacity is removed
     ],
 )
-def test_what_the_guard_of_backends_refuses(
+def test_violations_of_the_backend_guard(
     backends: list[tuple[str, int, str, float]], ids: list[str], load: float | None, why: str
 ) -> None:
     reasons = backend_guard_violations(Guards(10.0, 0.5), make_list(*backends), ids, load)
     assert (why in "; ".join(reasons)) if why else not reasons
 
 
-def test_what_the_guard_of_gateways_refuses() -> None:
+def test_violations_of_the_gateway_guard() -> None:
     assert not gateway_guard_violations(Guards(1.0, least_gateways=2), ["n0", "n1", "n2"], ["n0"])
     assert gateway_guard_violations(Guards(1.0, least_gateways=2), ["n0", "n1"], ["n0"])
     assert gateway_guard_violations(Guards(1.0, least_gateways=0), ["n0"], ["n0"])  # never none
@@ -571,6 +576,6 @@
         ("odd", 1, "unknown key"),
     ],
 )
-def test_a_fleet_file_out_of_form_is_told(key: str, wrong: Any, why: str) -> None:
+def test_an_invalid_fleet_file_is_reported(key: str, wrong: Any, why: str) -> None:
     with pytest.raises(InvalidFleetFile, match=why):
         build_fleet({**FLEET_FILE, key: wrong})
