--- a/embersill/ops/fleet.py
+++ b/embersill/ops/fleet.py
@@ -1,6 +1,6 @@
 """The fleet file: addresses of the list service and the consoles, machines, and limits of the guards.
 
-The names of the dataclasses' fields are keys of the TOML file.
+The fields of Guards have the names of the keys of its TOML table.
 """
 
 from __future__ import annotations
--- a/embersill/ops/procedure.py
+++ b/embersill/ops/procedure.py
@@ -125,6 +125,7 @@
 
 
 Call = ReadList | ReadLoad | SetDrainMark | ClearDrainMark | ConsoleCommand | Pause
+# Yields the calls of a round, is sent the time and the results, and returns the value of a step.
 Rounds = Generator[list[Call], tuple[float, list[Any]], Any]
 
 
