--- a/embersill/aggregator/__main__.py
+++ b/embersill/aggregator/__main__.py
@@ -20,8 +20,8 @@
 from embersill.aggregator.state import Limits
 from embersill.aggregator.upstream import UpstreamOptions
 
-DESCRIPTORS_KEPT = 64  # for upstream, the list service, the log
-LOG_EVERY = 10.0  # seconds
+RESERVED_DESCRIPTORS = 64  # for upstream, the list service, the log
+LOG_INTERVAL = 10.0  # seconds
 
 log = logging.getLogger("embersill.aggregator")
 
@@ -35,24 +35,24 @@
     upstream: UpstreamOptions
     membership: MembershipOptions | None
     drain_notice: float
-    drain_within: float
+    drain_timeout: float
 
 
-def read_address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdecimal() or int(port) > 65535:
         raise argparse.ArgumentTypeError(f"{text!r} is no HOST:PORT")
     return host.strip("[]"), int(port)
 
 
-def read_remote_address(text: str) -> tuple[str, int]:
-    address = read_address(text)
+def parse_remote_address(text: str) -> tuple[str, int]:
+    address = parse_address(text)
     if address[1] == 0:
         raise argparse.ArgumentTypeError(f"{text!r} names no port")
     return address
 
 
-def number_between(least: float, most: float) -> Callable[[str], float]:
+def number_in_range(least: float, most: float) -> Callable[[str], float]:
     def read(text: str) -> float:
         try:
             value = float(text)
@@ -72,7 +72,7 @@
         self.exit(2, f"embersill.aggregator: {message} (--help has the options)\n")
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     made = OneLineParser(
         prog="python -m embersill.aggregator",
         description="Sums counter calls by name and forwards one call a name and window upstream.",
@@ -80,37 +80,37 @@
         "docs/aggregation.md has the design and its bounds.",
     )
     add = made.add_argument
-    add("--listen", type=read_address, required=True, metavar="HOST:PORT",
+    add("--listen", type=parse_address, required=True, metavar="HOST:PORT",
         help="where gateways call; port 0 takes a free one, which the log names")
-    add("--upstream", type=read_remote_address, required=True, metavar="HOST:PORT",
+    add("--upstream", type=parse_remote_address, required=True, metavar="HOST:PORT",
         help="the counter, or another aggregator")
-    add("--window-ms", type=number_between(1, 10_000), default=100.0, metavar="MS",
+    add("--window-ms", type=number_in_range(1, 10_000), default=100.0, metavar="MS",
         help="between two upstream calls for one name (default %(default)g)")
-    add("--upstream-calls", type=number_between(1, 1e6), default=200.0, metavar="N",
+    add("--upstream-calls", type=number_in_range(1, 1e6), default=200.0, metavar="N",
         help="upstream calls a second at the most (default %(default)g)")
-    add("--upstream-patience-ms", type=number_between(1, 60_000), default=1000.0, metavar="MS",
+    add("--upstream-patience-ms", type=number_in_range(1, 60_000), default=1000.0, metavar="MS",
         help="for one upstream call (default %(default)g)")
-    add("--lease-ms", type=number_between(10, 60_000), default=1000.0, metavar="MS",
+    add("--lease-ms", type=number_in_range(10, 60_000), default=1000.0, metavar="MS",
         help="totals are told for so long after upstream last answered (default %(default)g)")
-    add("--wait-ms", type=number_between(1, 10_000), default=50.0, metavar="MS",
+    add("--wait-ms", type=number_in_range(1, 10_000), default=50.0, metavar="MS",
         help="a call waits so long for a new name's first total; below the gateways' patience "
         "(default %(default)g)")
-    add("--stale-ms", type=number_between(1, 60_000), default=1000.0, metavar="MS",
+    add("--stale-ms", type=number_in_range(1, 60_000), default=1000.0, metavar="MS",
         help="age at which the total of a name in use is read again (default %(default)g)")
-    add("--names", type=number_between(1, 1e7), default=100_000, metavar="N",
+    add("--names", type=number_in_range(1, 1e7), default=100_000, metavar="N",
         help="names held at the most (default %(default)d)")
-    add("--waiting", type=number_between(1, 1e6), default=10_000, metavar="N",
+    add("--waiting", type=number_in_range(1, 1e6), default=10_000, metavar="N",
         help="calls that may wait at once (default %(default)d)")
-    add("--drain-notice-ms", type=number_between(0, 60_000), default=1000.0, metavar="MS",
+    add("--drain-notice-ms", type=number_in_range(0, 60_000), default=1000.0, metavar="MS",
         help="after SIGTERM, calls are taken for so long while gateways learn of the drain "
         "(default %(default)g; none without a list service)")
-    add("--drain-ms", type=number_between(0, 60_000), default=2000.0, metavar="MS",
+    add("--drain-ms", type=number_in_range(0, 60_000), default=2000.0, metavar="MS",
         help="then, to forward what is held (default %(default)g)")
-    add("--directory", type=read_remote_address, metavar="HOST:PORT",
+    add("--directory", type=parse_remote_address, metavar="HOST:PORT",
         help="the list service to register in; needs --id")
     add("--id", metavar="ID", help="this aggregator's instance id in the list")
     add("--zone", default="", metavar="ZONE", help="this aggregator's zone in the list")
-    add("--advertise", type=read_remote_address, metavar="HOST:PORT",
+    add("--advertise", type=parse_remote_address, metavar="HOST:PORT",
         help="the address in the list, where it is not the one listened at")
     return made
 
@@ -120,14 +120,14 @@
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def take_descriptors() -> int:
+def raise_descriptor_limit() -> int:
     """Takes as many descriptors as the system allows; how many connections they are enough for."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    return max(1, hard - DESCRIPTORS_KEPT)
+    return max(1, hard - RESERVED_DESCRIPTORS)
 
 
-def read_options(told: argparse.Namespace, connections: int) -> ProgramOptions:
+def build_options(told: argparse.Namespace, connections: int) -> ProgramOptions:
     limits = Limits(
         names=int(told.names),
         waiting=int(told.waiting),
@@ -147,17 +147,17 @@
         upstream=UpstreamOptions(told.upstream[0], told.upstream[1], told.upstream_patience_ms / 1000.0),
         membership=membership,
         drain_notice=told.drain_notice_ms / 1000.0 if membership else 0.0,
-        drain_within=told.drain_ms / 1000.0,
+        drain_timeout=told.drain_ms / 1000.0,
     )
 
 
 async def log_figures(server: Server) -> None:
     while True:
-        await asyncio.sleep(LOG_EVERY)
+        await asyncio.sleep(LOG_INTERVAL)
         log.info("figures %s", json.dumps(server.statistics()))
 
 
-async def serve(options: ProgramOptions) -> None:
+async def run_until_signalled(options: ProgramOptions) -> None:
     """Runs until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -171,16 +171,16 @@
     if membership is not None:
         await membership.start()
     await stop.wait()
-    await end(server, membership, options)
+    await shut_down(server, membership, options)
     figures.cancel()
 
 
-async def end(server: Server, membership: Membership | None, options: ProgramOptions) -> None:
+async def shut_down(server: Server, membership: Membership | None, options: ProgramOptions) -> None:
     """Sends gateways elsewhere, forwards what is held within bounded time, and closes."""
     if membership is not None:
         await membership.drain()
         await asyncio.sleep(options.drain_notice)
-    drained = await server.drain(options.drain_within)
+    drained = await server.drain(options.drain_timeout)
     if membership is not None:
         await membership.stop()
     left = server.statistics()
@@ -189,16 +189,16 @@
 
 
 def main() -> int:
-    made = parser()
+    made = build_parser()
     told = made.parse_args()
     if told.directory is not None and not told.id:
         made.error("--directory needs --id")
     if told.directory is not None and not told.advertise and told.listen[1] == 0:
         made.error("--directory needs --advertise where --listen has port 0")
     logging.basicConfig(format="%(asctime)s %(name)s: %(message)s", level=logging.INFO)
-    options = read_options(told, take_descriptors())
+    options = build_options(told, raise_descriptor_limit())
     try:
-        uvloop.run(serve(options))
+        uvloop.run(run_until_signalled(options))
     except OSError as error:
         print(f"embersill.aggregator: {error}", file=sys.stderr)
         return 1
--- a/embersill/aggregator/membership.py
+++ b/embersill/aggregator/membership.py
@@ -12,9 +12,9 @@
 import aiohttp
 
 LEASE_MS = 10_000
-HEARTBEAT = LEASE_MS / 3000.0  # seconds: two of three heartbeats may be lost
+HEARTBEAT_INTERVAL = LEASE_MS / 3000.0  # seconds: two of three heartbeats may be lost
 CALL_TIMEOUT = 2.0  # seconds
-RETRY_AFTER = 1.0  # seconds
+RETRY_DELAY = 1.0  # seconds
 MACHINE_TYPE = "aggregator"
 
 log = logging.getLogger("embersill.aggregator")
@@ -24,7 +24,7 @@
 class MembershipOptions:
     """What an aggregator is registered as, and where."""
 
-    directory: str  # HOST:PORT
+    list_service: str  # HOST:PORT
     instance_id: str
     host_port: str
     zone: str = ""
@@ -39,8 +39,8 @@
 
     def __init__(self, options: MembershipOptions) -> None:
         self.options = options
-        self.url = f"http://{options.directory}/v1/instances/{options.instance_id}"
-        self.process = uuid.uuid4().hex
+        self.url = f"http://{options.list_service}/v1/instances/{options.instance_id}"
+        self.process_id = uuid.uuid4().hex
         self.started_at_ms = int(time.time() * 1000)
         self.session: aiohttp.ClientSession | None = None
         self.task: asyncio.Task[None] | None = None
@@ -55,15 +55,15 @@
         while True:
             try:
                 await self.renew() if self.registered else await self.register()
-                await asyncio.sleep(HEARTBEAT if self.registered else RETRY_AFTER)
+                await asyncio.sleep(HEARTBEAT_INTERVAL if self.registered else RETRY_DELAY)
             except Superseded:
                 log.error("another process is registered as %s: no more heartbeats", self.options.instance_id)
                 return
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
                 log.warning("the list service does not answer: %s", error or type(error).__name__)
-                await asyncio.sleep(RETRY_AFTER)
+                await asyncio.sleep(RETRY_DELAY)
 
-    async def call(
+    async def request(
         self,
         method: str,
         path: str = "",
@@ -76,21 +76,21 @@
             await response.read()
             return response.status, response.headers.get("ETag", "")
 
-    async def condition(self) -> dict[str, str]:
+    async def version_condition(self) -> dict[str, str]:
         """The header that a write must have: the version it rests on."""
-        status, version = await self.call("GET")
+        status, version = await self.request("GET")
         return {"If-Match": version} if status == 200 else {"If-None-Match": "*"}
 
     async def register(self) -> None:
         body = {
             "hostPort": self.options.host_port,
-            "process": self.process,
+            "process": self.process_id,
             "zone": self.options.zone,
             "machineType": MACHINE_TYPE,
             "startedAtMs": self.started_at_ms,
             "leaseMs": LEASE_MS,
         }
-        status, _ = await self.call("PUT", body=body, headers=await self.condition())
+        status, _ = await self.request("PUT", body=body, headers=await self.version_condition())
         self.registered = status in (200, 201)
         if self.registered:
             log.info("registered as %s at %s", self.options.instance_id, self.options.host_port)
@@ -98,7 +98,7 @@
             log.warning("registration was refused with status %d", status)
 
     async def renew(self) -> None:
-        status, _ = await self.call("POST", "/lease", {"process": self.process})
+        status, _ = await self.request("POST", "/lease", {"process": self.process_id})
         if status == 412:
             raise Superseded()
         if status == 404:
@@ -107,7 +107,7 @@
 
     async def drain(self) -> None:
         """Tells gateways to go elsewhere."""
-        await self.write_once("PUT", "/lifecycle", {"process": self.process, "lifecycle": "DRAINING"})
+        await self.write_once("PUT", "/lifecycle", {"process": self.process_id, "lifecycle": "DRAINING"})
 
     async def stop(self) -> None:
         """Ends the heartbeats and the registration."""
@@ -123,7 +123,7 @@
         if not self.registered:
             return
         try:
-            status, _ = await self.call(method, path, body, await self.condition())
+            status, _ = await self.request(method, path, body, await self.version_condition())
             if status >= 400:
                 log.warning("%s%s was refused with status %d", method, path, status)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
--- a/embersill/aggregator/pacing.py
+++ b/embersill/aggregator/pacing.py
@@ -4,9 +4,9 @@
 
 import random
 
-BACKOFF_FIRST = 0.05  # seconds
-BACKOFF_LONGEST = 2.0  # seconds
-TOKENS_KEPT = 0.1  # seconds' worth of tokens that an idle bucket holds: bounds the burst after a pause
+MIN_BACKOFF = 0.05  # seconds
+MAX_BACKOFF = 2.0  # seconds
+BURST_WINDOW = 0.1  # seconds' worth of tokens that an idle bucket holds: bounds the burst after a pause
 
 
 class TokenBucket:
@@ -14,14 +14,14 @@
 
     def __init__(self, rate: float, now: float) -> None:
         self.rate = rate
-        self.capacity = max(1.0, rate * TOKENS_KEPT)
+        self.capacity = max(1.0, rate * BURST_WINDOW)
         self.tokens = self.capacity
-        self.filled_at = now
+        self.refilled_at = now
 
     def has_token(self, now: float) -> bool:
         """Whether a call may be made now."""
-        self.tokens = min(self.capacity, self.tokens + max(0.0, now - self.filled_at) * self.rate)
-        self.filled_at = max(now, self.filled_at)
+        self.tokens = min(self.capacity, self.tokens + max(0.0, now - self.refilled_at) * self.rate)
+        self.refilled_at = max(now, self.refilled_at)
         return self.tokens >= 1.0
 
     def take(self) -> None:
@@ -37,15 +37,15 @@
         self.failures = 0
         self.until = 0.0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Begins or lengthens the pause; failures of calls sent before the pause do not lengthen it."""
         if now < self.until:
             return
-        longest = min(BACKOFF_LONGEST, BACKOFF_FIRST * 2.0**self.failures)
+        longest = min(MAX_BACKOFF, MIN_BACKOFF * 2.0**self.failures)
         self.failures = min(self.failures + 1, 16)
         self.until = now + longest * self.random.uniform(0.5, 1.0)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Ends the pause."""
         self.failures = 0
         self.until = 0.0
--- a/embersill/aggregator/server.py
+++ b/embersill/aggregator/server.py
@@ -16,12 +16,12 @@
 from embersill.aggregator.state import Aggregation, Limits
 from embersill.aggregator.upstream import Upstream, UpstreamOptions
 
-TICK = 0.005  # seconds between looks at what is due
-IDLE_LIMIT = 10.0  # seconds after which an unused connection is closed
-IDLE_CHECK = 1.0  # seconds between looks for idle connections
-MOST_CALL_BYTES = 64 * 1024  # of one call that is not complete
-MOST_OUTPUT_BYTES = 256 * 1024  # unread by one caller: then it is closed
-MOST_UNANSWERED = 1_024  # calls of one connection: then it is not read until half are answered
+TICK_INTERVAL = 0.005  # seconds between looks at what is due
+IDLE_TIMEOUT = 10.0  # seconds after which an unused connection is closed
+IDLE_CHECK_INTERVAL = 1.0  # seconds between looks for idle connections
+MAX_CALL_BYTES = 64 * 1024  # of one call that is not complete
+MAX_OUTPUT_BYTES = 256 * 1024  # unread by one caller: then it is closed
+MAX_UNANSWERED = 1_024  # calls of one connection: then it is not read until half are answered
 BACKLOG = 4_096  # connections not yet accepted: a fleet that returns together
 
 
@@ -48,12 +48,12 @@
 
     host: str
     port: int
-    connections: int = 8_000
-    idle_limit: float = IDLE_LIMIT  # seconds
+    max_connections: int = 8_000
+    idle_timeout: float = IDLE_TIMEOUT  # seconds
 
 
 @dataclass(slots=True, eq=False)
-class Caller:
+class DeferredReply:
     """Who waits for a ticket's answer."""
 
     connection: ServerConnection
@@ -70,12 +70,12 @@
         self.replies: deque[PendingReply] = deque()
         self.output: list[bytes] = []
         self.incomplete_bytes = 0
-        self.used_at = server.loop.time()
+        self.last_read_at = server.loop.time()
         self.reading_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        if len(self.server.connections) >= self.server.options.connections:
+        if len(self.server.connections) >= self.server.options.max_connections:
             self.server.figures.connections_refused += 1
             self.transport.abort()
             return
@@ -86,7 +86,7 @@
         self.replies.clear()
 
     def data_received(self, data: bytes) -> None:
-        self.used_at = self.server.loop.time()
+        self.last_read_at = self.server.loop.time()
         self.incomplete_bytes += len(data)
         self.reader.feed(data)
         try:
@@ -94,15 +94,15 @@
                 self.incomplete_bytes = 0
                 self.server.execute(message, self)
         except hiredis.ProtocolError:
-            return self.refuse("not a RESP2 call")
-        if self.incomplete_bytes > MOST_CALL_BYTES:
-            return self.refuse("the call is too long")
+            return self.reject_and_close("not a RESP2 call")
+        if self.incomplete_bytes > MAX_CALL_BYTES:
+            return self.reject_and_close("the call is too long")
         self.flush()
 
-    def refuse(self, why: str) -> None:
+    def reject_and_close(self, why: str) -> None:
         """Answers what can be answered and closes: the bytes that follow can't be read."""
         self.server.figures.calls_malformed += 1
-        self.reply(resp.error_text(why))
+        self.reply(resp.encode_error(why))
         self.flush()
         if self.transport is not None:
             self.transport.close()
@@ -114,9 +114,9 @@
         else:
             self.output.append(text)
 
-    def reply_later(self) -> Caller:
+    def defer_reply(self) -> DeferredReply:
         """Keeps the place of an answer that is still to come."""
-        caller = Caller(self)
+        caller = DeferredReply(self)
         self.replies.append(caller.reply)
         return caller
 
@@ -125,29 +125,29 @@
         while self.replies and (text := self.replies[0].text) is not None:
             self.output.append(text)
             self.replies.popleft()
-        self.control_reading()
+        self.apply_backpressure()
         if not self.output or self.transport is None:
             return
         output, self.output = self.output, []
         if self.transport.is_closing():
             return
         self.transport.write(b"".join(output))
-        if self.transport.get_write_buffer_size() > MOST_OUTPUT_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_OUTPUT_BYTES:
             self.server.figures.connections_slow += 1
             self.transport.abort()
 
-    def control_reading(self) -> None:
+    def apply_backpressure(self) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if not self.reading_paused and len(self.replies) > MOST_UNANSWERED:
+        if not self.reading_paused and len(self.replies) > MAX_UNANSWERED:
             self.reading_paused = True
             self.transport.pause_reading()
-        elif self.reading_paused and len(self.replies) <= MOST_UNANSWERED // 2:
+        elif self.reading_paused and len(self.replies) <= MAX_UNANSWERED // 2:
             self.reading_paused = False
             self.transport.resume_reading()
 
     def close_if_idle(self, now: float) -> None:
-        idle = now - self.used_at >= self.server.options.idle_limit
+        idle = now - self.last_read_at >= self.server.options.idle_timeout
         if idle and not self.replies and self.transport is not None:
             self.server.figures.connections_idle += 1
             self.transport.close()
@@ -165,12 +165,12 @@
         self.options = options
         self.loop = asyncio.get_running_loop()
         self.state = Aggregation(limits, self.loop.time(), seed)
-        self.upstream = Upstream(upstream, self.forward_ended)
+        self.upstream = Upstream(upstream, self.on_forward_ended)
         self.figures = ServerFigures()
         self.connections: set[ServerConnection] = set()
-        self.callers: dict[int, Caller] = {}
-        self.pump_soon: asyncio.Handle | None = None
-        self.timers: list[asyncio.Task[None]] = []
+        self.deferred_replies: dict[int, DeferredReply] = {}
+        self.scheduled_pump: asyncio.Handle | None = None
+        self.tasks: list[asyncio.Task[None]] = []
         self.listener: asyncio.Server | None = None
         self.commands: dict[bytes, Callable[[list[bytes], ServerConnection], None]] = {
             b"CNT.ADD": self.execute_add,
@@ -187,7 +187,10 @@
         self.listener = await self.loop.create_server(
             lambda: ServerConnection(self), self.options.host, self.options.port, backlog=BACKLOG
         )
-        self.timers = [self.loop.create_task(self.tick()), self.loop.create_task(self.close_idle())]
+        self.tasks = [
+            self.loop.create_task(self.pump_periodically()),
+            self.loop.create_task(self.close_idle_periodically()),
+        ]
 
     @property
     def port(self) -> int:
@@ -200,52 +203,52 @@
         self.state.drain()
         deadline = self.loop.time() + within
         while not self.state.is_drained() and self.loop.time() < deadline:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL)
         return self.state.is_drained()
 
     async def stop(self) -> None:
         """Closes all connections; what is still held is lost."""
         if self.listener is not None:
             self.listener.close()
-        for timer in self.timers:
+        for timer in self.tasks:
             timer.cancel()
-        if self.pump_soon is not None:
-            self.pump_soon.cancel()
+        if self.scheduled_pump is not None:
+            self.scheduled_pump.cancel()
         self.upstream.close()
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
-        await asyncio.gather(*self.timers, return_exceptions=True)
+        await asyncio.gather(*self.tasks, return_exceptions=True)
 
     # calls
 
     def execute(self, message: object, connection: ServerConnection) -> None:
         """Carries out one call."""
         if not isinstance(message, list) or not message or not all(isinstance(w, bytes) for w in message):
-            return self.refuse_call("a call is an array of bulk strings", connection)
+            return self.reply_malformed("a call is an array of bulk strings", connection)
         command = self.commands.get(message[0].upper())
         if command is None:
-            return self.refuse_call("unknown command", connection)
+            return self.reply_malformed("unknown command", connection)
         command(message, connection)
 
-    def refuse_call(self, why: str, connection: ServerConnection) -> None:
+    def reply_malformed(self, why: str, connection: ServerConnection) -> None:
         self.figures.calls_malformed += 1
-        connection.reply(resp.error_text(why))
+        connection.reply(resp.encode_error(why))
 
     def execute_add(self, words: list[bytes], connection: ServerConnection) -> None:
         try:
-            call = resp.read_add(words)
-        except resp.CallError as error:
-            return self.refuse_call(str(error), connection)
+            call = resp.parse_add(words)
+        except resp.MalformedCall as error:
+            return self.reply_malformed(str(error), connection)
         reply = self.state.add(call.name, call.amount, call.life, self.loop.time())
         if isinstance(reply, Wait):
-            self.callers[reply.ticket] = connection.reply_later()
+            self.deferred_replies[reply.ticket] = connection.defer_reply()
             self.schedule_pump()
         else:
-            connection.reply(resp.reply_text(reply))
+            connection.reply(resp.encode_reply(reply))
 
     def execute_statistics(self, words: list[bytes], connection: ServerConnection) -> None:
-        connection.reply(resp.bulk_text(json.dumps(self.statistics()).encode()))
+        connection.reply(resp.encode_bulk_string(json.dumps(self.statistics()).encode()))
 
     def statistics(self) -> dict[str, Any]:
         """Figures of the state and of the server."""
@@ -262,37 +265,37 @@
 
     def schedule_pump(self) -> None:
         """Sends what is due once the calls at hand are read, so that they share their forwards."""
-        if self.pump_soon is None:
-            self.pump_soon = self.loop.call_soon(self.pump)
+        if self.scheduled_pump is None:
+            self.scheduled_pump = self.loop.call_soon(self.pump)
 
     def pump(self) -> None:
         """Sends the forwards that are due and answers the calls that waited."""
-        self.pump_soon = None
+        self.scheduled_pump = None
         while (forward := self.state.next_forward(self.loop.time())) is not None:
             self.upstream.send(forward)
         self.deliver_answers()
 
-    def forward_ended(self, forward: Forward, result: ForwardResult) -> None:
+    def on_forward_ended(self, forward: Forward, result: ForwardResult) -> None:
         self.state.forward_ended(forward, result, self.loop.time())
         self.deliver_answers()
 
     def deliver_answers(self) -> None:
         answered: dict[ServerConnection, None] = {}
         for answer in self.state.take_answers():
-            caller = self.callers.pop(answer.ticket)
-            caller.reply.text = resp.reply_text(answer.reply)
+            caller = self.deferred_replies.pop(answer.ticket)
+            caller.reply.text = resp.encode_reply(answer.reply)
             answered[caller.connection] = None
         for connection in answered:
             connection.flush()
 
-    async def tick(self) -> None:
+    async def pump_periodically(self) -> None:
         while True:
             self.pump()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL)
 
-    async def close_idle(self) -> None:
+    async def close_idle_periodically(self) -> None:
         while True:
-            await asyncio.sleep(IDLE_CHECK)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL)
             now = self.loop.time()
             for connection in list(self.connections):
                 connection.close_if_idle(now)
--- a/embersill/aggregator/state.py
+++ b/embersill/aggregator/state.py
@@ -26,12 +26,12 @@
 )
 from embersill.aggregator.pacing import Backoff, TokenBucket
 
-LONGEST_LIFE = 60.0  # seconds: the protocol's bound on a name's life
-MOST_AMOUNT = 1e9  # of one call: the protocol's bound
-ZERO = 1e-9  # sums below this are rounding errors
+MAX_LIFE = 60.0  # seconds: the protocol's bound on a name's life
+MAX_AMOUNT = 1e9  # of one call: the protocol's bound
+AMOUNT_EPSILON = 1e-9  # sums below this are rounding errors
 FALL_TOLERANCE = 1e-6  # part by which a total may be lower than expected: totals are exact to seven digits
 REFRESH_WEIGHT = 1e-3  # units that a wish for a fresh reading weighs against unforwarded amounts
-KNOWN_SHARE = 4  # every so-many-th forward is of a known name, even while new names wait
+KNOWN_NAME_INTERVAL = 4  # every so-many-th forward is of a known name, even while new names wait
 PROBES_PER_LEASE = 3.0  # calls in an idle lease that prove that upstream answers
 INDEX_SLACK = 1_000  # entries beyond the table that an index may hold before it is compacted
 PROBE_NAME = b"aggregator.probe"
@@ -91,14 +91,14 @@
     """One name."""
 
     name: bytes
-    expires: float
+    expires_at: float
     upstream_total: float | None = None  # None until the first reading
     read_at: float = float("-inf")  # when the call of the last reading was sent
     unforwarded: float = 0.0
     unforwarded_since: float = 0.0
     in_flight: Forward | None = None
-    doubtful: float = 0.0
-    wants_reading: bool = False
+    uncertain: float = 0.0
+    needs_reading: bool = False
     forwarded_at: float = float("-inf")
     waiting: list[Waiter] = field(default_factory=list)  # their amounts are not forwarded yet
     waiting_in_flight: list[Waiter] = field(default_factory=list)
@@ -106,19 +106,19 @@
     def total(self) -> float:
         """What this aggregator knows of the name."""
         in_flight = self.in_flight.amount if self.in_flight is not None else 0.0
-        return (self.upstream_total or 0.0) + in_flight + self.unforwarded + self.doubtful
+        return (self.upstream_total or 0.0) + in_flight + self.unforwarded + self.uncertain
 
     def needs_forward(self) -> bool:
         """Whether there is something to tell or to ask upstream."""
-        return abs(self.unforwarded) > ZERO or self.wants_reading or bool(self.waiting)
+        return abs(self.unforwarded) > AMOUNT_EPSILON or self.needs_reading or bool(self.waiting)
 
     def is_clean(self) -> bool:
         """Whether the entry can go without a loss."""
         return self.in_flight is None and not self.needs_forward()
 
-    def weight(self, now: float) -> float:
+    def urgency(self, now: float) -> float:
         """The urgency of its forward: the amount times its age."""
-        return (abs(self.unforwarded) + REFRESH_WEIGHT) * (now - self.unforwarded_since + ZERO)
+        return (abs(self.unforwarded) + REFRESH_WEIGHT) * (now - self.unforwarded_since + AMOUNT_EPSILON)
 
 
 class Aggregation:
@@ -129,7 +129,7 @@
         self.figures = Figures()
         self.answers: list[Answer] = []
         self.draining = False
-        self.proved_at = float("-inf")  # when the last call that upstream answered with a total was sent
+        self.lease_started_at = float("-inf")  # send time of the latest call answered with a total
         self.entries: dict[bytes, Entry] = {}
         self.clean: OrderedDict[bytes, None] = OrderedDict()  # least recently used first
         self.dirty: dict[bytes, Entry] = {}  # to be forwarded, or in flight: those that wait longest first
@@ -139,35 +139,35 @@
         self.new_names: deque[Entry] = deque()
         self.ranked: list[Entry] = []  # the most urgent last
         self.ranked_at = float("-inf")
-        self.oldest_turn = False
+        self.oldest_is_next = False
         self.in_flight: dict[int, tuple[Forward, Entry | None]] = {}  # no entry: a probe
         self.bucket = TokenBucket(limits.upstream_calls, now)
         self.backoff = Backoff(random.Random(seed))
-        self.sent_at = float("-inf")
-        self.next_number = 0
+        self.last_sent_at = float("-inf")
+        self.last_id = 0
 
     # calls from below
 
     def add(self, name: bytes, amount: float, life: float, now: float) -> Total | Wait | Busy:
         """Adds an amount to a name; `life` (seconds) is that of a new name."""
-        self.sweep(now)
+        self.expire_due(now)
         self.figures.calls += 1
         entry = self.entries.get(name)
-        refusal = self.refusal(entry, now)
+        refusal = self.rejection_reason(entry, now)
         if refusal is not None:
-            return self.busy(refusal)
+            return self.reject(refusal)
         if entry is None:
-            entry = self.open_entry(name, min(life, LONGEST_LIFE), now)
+            entry = self.create_entry(name, min(life, MAX_LIFE), now)
         if entry.upstream_total is None:
             return self.wait_for_total(entry, amount, now)
         self.add_unforwarded(entry, amount, now)
         if now - entry.read_at > self.limits.stale:
-            entry.wants_reading = True
-        self.file(entry)
+            entry.needs_reading = True
+        self.update_indexes(entry)
         self.figures.totals += 1
         return Total(entry.total())
 
-    def refusal(self, entry: Entry | None, now: float) -> BusyReason | None:
+    def rejection_reason(self, entry: Entry | None, now: float) -> BusyReason | None:
         """Why a call can't be taken now, if so. Makes room in a full table."""
         if self.draining:
             return BusyReason.DRAINING
@@ -182,9 +182,9 @@
 
     def has_lease(self, now: float) -> bool:
         """Whether upstream has answered recently enough for totals to be told."""
-        return now - self.proved_at <= self.limits.lease
+        return now - self.lease_started_at <= self.limits.lease
 
-    def busy(self, reason: BusyReason) -> Busy:
+    def reject(self, reason: BusyReason) -> Busy:
         self.figures.busy[reason.value] += 1
         return Busy(reason)
 
@@ -195,43 +195,43 @@
 
     def wait_for_total(self, entry: Entry, amount: float, now: float) -> Wait:
         self.add_unforwarded(entry, amount, now)
-        waiter = Waiter(self.number(), amount, now + self.limits.wait, entry)
+        waiter = Waiter(self.new_id(), amount, now + self.limits.wait, entry)
         entry.waiting.append(waiter)
         self.waiters.append(waiter)
         self.waiting_count += 1
         self.figures.waits += 1
-        self.file(entry)
+        self.update_indexes(entry)
         return Wait(waiter.ticket)
 
-    def number(self) -> int:
-        self.next_number += 1
-        return self.next_number
+    def new_id(self) -> int:
+        self.last_id += 1
+        return self.last_id
 
     # the table
 
-    def open_entry(self, name: bytes, life: float, now: float) -> Entry:
+    def create_entry(self, name: bytes, life: float, now: float) -> Entry:
         entry = Entry(name, now + life)
         self.entries[name] = entry
-        heapq.heappush(self.expiries, (entry.expires, self.number(), entry))
+        heapq.heappush(self.expiries, (entry.expires_at, self.new_id(), entry))
         self.new_names.append(entry)
-        self.compact()
+        self.compact_indexes()
         return entry
 
-    def compact(self) -> None:
+    def compact_indexes(self) -> None:
         """Forgets entries that left the table early, once they are the most of an index."""
         most = 2 * len(self.entries) + INDEX_SLACK
         if len(self.expiries) > most:
-            self.expiries = [kept for kept in self.expiries if self.holds(kept[2])]
+            self.expiries = [kept for kept in self.expiries if self.is_in_table(kept[2])]
             heapq.heapify(self.expiries)
         if len(self.new_names) > most:
-            self.new_names = deque(entry for entry in self.new_names if self.holds(entry))
+            self.new_names = deque(entry for entry in self.new_names if self.is_in_table(entry))
 
-    def holds(self, entry: Entry) -> bool:
+    def is_in_table(self, entry: Entry) -> bool:
         return self.entries.get(entry.name) is entry
 
-    def file(self, entry: Entry) -> None:
+    def update_indexes(self, entry: Entry) -> None:
         """Puts an entry in the index it belongs to, as the most recently used."""
-        if not self.holds(entry):
+        if not self.is_in_table(entry):
             return  # it has left the table
         self.clean.pop(entry.name, None)
         if entry.is_clean():
@@ -250,25 +250,25 @@
         return True
 
     def remove(self, entry: Entry) -> None:
-        if self.holds(entry):
+        if self.is_in_table(entry):
             del self.entries[entry.name]
             self.clean.pop(entry.name, None)
             self.dirty.pop(entry.name, None)
 
-    def sweep(self, now: float) -> None:
+    def expire_due(self, now: float) -> None:
         """Ends names and waits whose times are over."""
         while self.expiries and self.expiries[0][0] <= now:
             entry = heapq.heappop(self.expiries)[2]
-            if self.holds(entry):
+            if self.is_in_table(entry):
                 self.expire(entry)
         while self.waiters and (self.waiters[0].deadline <= now or self.waiters[0].answered):
-            self.end_wait(self.waiters.popleft())
+            self.time_out_waiter(self.waiters.popleft())
 
     def expire(self, entry: Entry) -> None:
         self.remove(entry)
         self.figures.names_expired += 1
-        self.withdraw_waiting(entry, BusyReason.NAME_EXPIRED)
-        if abs(entry.unforwarded) > ZERO:
+        self.reject_waiters(entry, BusyReason.NAME_EXPIRED)
+        if abs(entry.unforwarded) > AMOUNT_EPSILON:
             self.drop_unforwarded(entry)
 
     def drop_unforwarded(self, entry: Entry) -> None:
@@ -279,31 +279,31 @@
 
     # waits
 
-    def end_wait(self, waiter: Waiter) -> None:
+    def time_out_waiter(self, waiter: Waiter) -> None:
         """Takes back a waiting call's amount, unless it is in flight: that one gets the forward's result."""
         entry = waiter.entry
         if waiter.answered or waiter not in entry.waiting:
             return
         entry.waiting.remove(waiter)
-        self.withdraw(waiter, BusyReason.WAIT_ENDED)
+        self.reject_waiter(waiter, BusyReason.WAIT_ENDED)
         if entry.in_flight is None and not entry.needs_forward():
             self.remove(entry)
         else:
-            self.file(entry)
+            self.update_indexes(entry)
 
-    def withdraw(self, waiter: Waiter, reason: BusyReason) -> None:
+    def reject_waiter(self, waiter: Waiter, reason: BusyReason) -> None:
         entry = waiter.entry
         entry.unforwarded -= waiter.amount
-        if abs(entry.unforwarded) <= ZERO:
+        if abs(entry.unforwarded) <= AMOUNT_EPSILON:
             entry.unforwarded = 0.0
-        self.answer(waiter, self.busy(reason))
+        self.answer_waiter(waiter, self.reject(reason))
 
-    def withdraw_waiting(self, entry: Entry, reason: BusyReason) -> None:
+    def reject_waiters(self, entry: Entry, reason: BusyReason) -> None:
         waiting, entry.waiting = entry.waiting, []
         for waiter in waiting:
-            self.withdraw(waiter, reason)
+            self.reject_waiter(waiter, reason)
 
-    def answer(self, waiter: Waiter, reply: Total | Busy | Unknown) -> None:
+    def answer_waiter(self, waiter: Waiter, reply: Total | Busy | Unknown) -> None:
         waiter.answered = True
         self.waiting_count -= 1
         self.answers.append(Answer(waiter.ticket, reply))
@@ -317,44 +317,44 @@
 
     def next_forward(self, now: float) -> Forward | None:
         """The next call to make upstream, if one is due and within the budget."""
-        self.sweep(now)
+        self.expire_due(now)
         if now < self.backoff.until or len(self.in_flight) >= self.limits.in_flight:
             return None
         if not self.bucket.has_token(now):
             return None
-        entry = self.pick(now)
+        entry = self.pick_entry(now)
         if entry is not None:
             self.bucket.take()
-            return self.begin_forward(entry, now)
+            return self.start_forward(entry, now)
         if self.probe_is_due(now):
             self.bucket.take()
-            return self.begin_probe(now)
+            return self.start_probe(now)
         return None
 
-    def pick(self, now: float) -> Entry | None:
+    def pick_entry(self, now: float) -> Entry | None:
         """New names first, with a share kept for known names."""
-        known_turn = self.figures.forwards % KNOWN_SHARE == KNOWN_SHARE - 1
+        known_turn = self.figures.forwards % KNOWN_NAME_INTERVAL == KNOWN_NAME_INTERVAL - 1
         if known_turn:
             return self.pick_known(now) or self.pick_new()
         return self.pick_new() or self.pick_known(now)
 
     def pick_known(self, now: float) -> Entry | None:
         """By turns the most urgent name and the one that has waited longest, so that none starves."""
-        if self.oldest_turn:
+        if self.oldest_is_next:
             entry = self.pick_oldest(now) or self.pick_ranked(now)
         else:
             entry = self.pick_ranked(now) or self.pick_oldest(now)
         if entry is not None:
-            self.oldest_turn = not self.oldest_turn
+            self.oldest_is_next = not self.oldest_is_next
         return entry
 
     def pick_oldest(self, now: float) -> Entry | None:
         for entry in itertools.islice(self.dirty.values(), self.limits.in_flight + 1):
-            if entry.in_flight is None and entry.needs_forward() and self.window_is_over(entry, now):
+            if entry.in_flight is None and entry.needs_forward() and self.window_elapsed(entry, now):
                 return entry
         return None
 
-    def window_is_over(self, entry: Entry, now: float) -> bool:
+    def window_elapsed(self, entry: Entry, now: float) -> bool:
         return self.draining or now - entry.forwarded_at >= self.limits.window
 
     def pick_new(self) -> Entry | None:
@@ -367,51 +367,51 @@
     def pick_ranked(self, now: float) -> Entry | None:
         age = now - self.ranked_at
         if age >= self.limits.window or not self.ranked and age >= self.limits.window / 2:
-            self.rank(now)
+            self.rank_due_entries(now)
         while self.ranked:
             entry = self.ranked.pop()
-            if self.is_forwardable(entry) and self.window_is_over(entry, now):
+            if self.is_forwardable(entry) and self.window_elapsed(entry, now):
                 return entry
         return None
 
     def is_forwardable(self, entry: Entry) -> bool:
-        return self.holds(entry) and entry.in_flight is None and entry.needs_forward()
+        return self.is_in_table(entry) and entry.in_flight is None and entry.needs_forward()
 
-    def rank(self, now: float) -> None:
+    def rank_due_entries(self, now: float) -> None:
         """Orders the most urgent of the entries whose window is over, as many as may go in a window."""
         self.ranked_at = now
-        due = [e for e in self.dirty.values() if e.in_flight is None and self.window_is_over(e, now)]
+        due = [e for e in self.dirty.values() if e.in_flight is None and self.window_elapsed(e, now)]
         most = int(self.limits.upstream_calls * self.limits.window) + self.limits.in_flight
-        self.ranked = heapq.nlargest(most, due, key=lambda entry: entry.weight(now))
+        self.ranked = heapq.nlargest(most, due, key=lambda entry: entry.urgency(now))
         self.ranked.reverse()
 
-    def begin_forward(self, entry: Entry, now: float) -> Forward:
-        amount = max(-MOST_AMOUNT, min(MOST_AMOUNT, entry.unforwarded))
-        life_ms = max(1, round((entry.expires - now) * 1000.0))
-        forward = Forward(self.number(), entry.name, amount, life_ms, now)
+    def start_forward(self, entry: Entry, now: float) -> Forward:
+        amount = max(-MAX_AMOUNT, min(MAX_AMOUNT, entry.unforwarded))
+        life_ms = max(1, round((entry.expires_at - now) * 1000.0))
+        forward = Forward(self.new_id(), entry.name, amount, life_ms, now)
         entry.unforwarded -= amount
         entry.unforwarded_since = now
-        entry.wants_reading = False
+        entry.needs_reading = False
         entry.in_flight = forward
         entry.forwarded_at = now
         entry.waiting_in_flight, entry.waiting = entry.waiting, []
-        self.register(forward, entry)
+        self.add_in_flight(forward, entry)
         self.figures.forwards += 1
         self.dirty.pop(entry.name, None)  # its turn as the oldest comes anew
-        self.file(entry)
+        self.update_indexes(entry)
         return forward
 
-    def register(self, forward: Forward, entry: Entry | None) -> None:
+    def add_in_flight(self, forward: Forward, entry: Entry | None) -> None:
         self.in_flight[forward.number] = (forward, entry)
-        self.sent_at = forward.sent_at
+        self.last_sent_at = forward.sent_at
 
     def probe_is_due(self, now: float) -> bool:
-        return now - self.sent_at >= self.limits.lease / PROBES_PER_LEASE
+        return now - self.last_sent_at >= self.limits.lease / PROBES_PER_LEASE
 
-    def begin_probe(self, now: float) -> Forward:
+    def start_probe(self, now: float) -> Forward:
         """A call that adds nothing, to learn whether upstream answers."""
-        forward = Forward(self.number(), PROBE_NAME, 0.0, round(LONGEST_LIFE * 1000), now)
-        self.register(forward, None)
+        forward = Forward(self.new_id(), PROBE_NAME, 0.0, round(MAX_LIFE * 1000), now)
+        self.add_in_flight(forward, None)
         self.figures.probes += 1
         return forward
 
@@ -423,28 +423,28 @@
             return
         self.figures.forwards_by_status[result.status.value] += 1
         if result.status is ForwardStatus.ADDED:
-            self.backoff.succeeded()
-            self.proved_at = max(self.proved_at, forward.sent_at)
+            self.backoff.record_success()
+            self.lease_started_at = max(self.lease_started_at, forward.sent_at)
         elif result.status is not ForwardStatus.ERROR:
-            self.backoff.failed(now)
+            self.backoff.record_failure(now)
         if entry is not None:
-            self.settle(entry, forward, result, now)
-        self.sweep(now)
+            self.apply_result(entry, forward, result, now)
+        self.expire_due(now)
 
-    def settle(self, entry: Entry, forward: Forward, result: ForwardResult, now: float) -> None:
+    def apply_result(self, entry: Entry, forward: Forward, result: ForwardResult, now: float) -> None:
         entry.in_flight = None
         match result.status:
             case ForwardStatus.ADDED:
-                self.take_total(entry, forward, result.total)
+                self.apply_total(entry, forward, result.total)
             case ForwardStatus.UNKNOWN:
-                self.doubt(entry, forward, now)
+                self.apply_unknown(entry, forward, now)
             case ForwardStatus.ERROR:
-                self.refuse(entry, forward, now)
+                self.apply_error(entry, forward, now)
             case ForwardStatus.BUSY | ForwardStatus.NO_CONNECTION:
-                self.put_back(entry, forward, now)
-        self.file(entry)
+                self.apply_not_added(entry, forward, now)
+        self.update_indexes(entry)
 
-    def take_total(self, entry: Entry, forward: Forward, total: float) -> None:
+    def apply_total(self, entry: Entry, forward: Forward, total: float) -> None:
         """An upstream total is true, also where it is lower than it should be."""
         if entry.upstream_total is not None:
             expected = entry.upstream_total + forward.amount
@@ -452,43 +452,43 @@
                 self.figures.totals_fallen += 1
         entry.upstream_total = total
         entry.read_at = forward.sent_at
-        entry.doubtful = 0.0
-        entry.wants_reading = False
+        entry.uncertain = 0.0
+        entry.needs_reading = False
         answered = entry.waiting_in_flight + entry.waiting
         entry.waiting_in_flight, entry.waiting = [], []
         for waiter in answered:
-            self.answer(waiter, Total(entry.total()))
+            self.answer_waiter(waiter, Total(entry.total()))
 
-    def doubt(self, entry: Entry, forward: Forward, now: float) -> None:
+    def apply_unknown(self, entry: Entry, forward: Forward, now: float) -> None:
         """The amount is not sent again: it may yet be added. The next total tells; until then a positive
         amount counts as added and a negative one as not, so that no room is made by a guess."""
-        entry.doubtful += max(0.0, forward.amount)
-        entry.wants_reading = True
+        entry.uncertain += max(0.0, forward.amount)
+        entry.needs_reading = True
         self.figures.amount_doubtful += abs(forward.amount)
         waiting, entry.waiting_in_flight = entry.waiting_in_flight, []
         for waiter in waiting:
             self.figures.waits_unknown += 1
-            self.answer(waiter, Unknown())
+            self.answer_waiter(waiter, Unknown())
         if entry.upstream_total is None:
             self.retry_new_name(entry, now)
 
-    def refuse(self, entry: Entry, forward: Forward, now: float) -> None:
+    def apply_error(self, entry: Entry, forward: Forward, now: float) -> None:
         """Upstream takes this call for malformed; it would again, so the amount is dropped."""
         self.figures.amount_refused += abs(forward.amount)
         waiting, entry.waiting_in_flight = entry.waiting_in_flight, []
         for waiter in waiting:
-            self.answer(waiter, self.busy(BusyReason.WAIT_ENDED))
+            self.answer_waiter(waiter, self.reject(BusyReason.WAIT_ENDED))
         if entry.upstream_total is None:
             self.retry_new_name(entry, now)
 
-    def put_back(self, entry: Entry, forward: Forward, now: float) -> None:
+    def apply_not_added(self, entry: Entry, forward: Forward, now: float) -> None:
         """Nothing was added: the amount waits for its next turn."""
         entry.unforwarded += forward.amount
-        entry.wants_reading = entry.wants_reading or abs(forward.amount) <= ZERO
+        entry.needs_reading = entry.needs_reading or abs(forward.amount) <= AMOUNT_EPSILON
         entry.waiting = entry.waiting_in_flight + entry.waiting
         entry.waiting_in_flight = []
-        if not self.holds(entry):
-            self.expire_late(entry)
+        if not self.is_in_table(entry):
+            self.finish_expiry(entry)
         elif entry.upstream_total is None:
             self.retry_new_name(entry, now)
 
@@ -497,16 +497,16 @@
         overdue = [waiter for waiter in entry.waiting if waiter.deadline <= now]
         entry.waiting = [waiter for waiter in entry.waiting if waiter.deadline > now]
         for waiter in overdue:
-            self.withdraw(waiter, BusyReason.WAIT_ENDED)
+            self.reject_waiter(waiter, BusyReason.WAIT_ENDED)
         if entry.needs_forward():
             self.new_names.append(entry)
         else:
             self.remove(entry)
 
-    def expire_late(self, entry: Entry) -> None:
+    def finish_expiry(self, entry: Entry) -> None:
         """The name's life ended while its forward was out."""
-        self.withdraw_waiting(entry, BusyReason.NAME_EXPIRED)
-        if abs(entry.unforwarded) > ZERO:
+        self.reject_waiters(entry, BusyReason.NAME_EXPIRED)
+        if abs(entry.unforwarded) > AMOUNT_EPSILON:
             self.drop_unforwarded(entry)
 
     # the end, and what is told of the state
@@ -523,7 +523,7 @@
 
     def statistics(self, now: float) -> dict[str, Any]:
         """Figures since the start, and gauges of this moment."""
-        unforwarded = [e for e in self.dirty.values() if abs(e.unforwarded) > ZERO]
+        unforwarded = [e for e in self.dirty.values() if abs(e.unforwarded) > AMOUNT_EPSILON]
         oldest = max((now - e.unforwarded_since for e in unforwarded), default=0.0)
         return {
             **asdict(self.figures),
--- a/tests/aggregators.py
+++ b/tests/aggregators.py
@@ -12,7 +12,7 @@
 import hiredis
 
 from embersill.aggregator.messages import Answer, Forward, ForwardResult, ForwardStatus, Total
-from embersill.aggregator.resp import add_text
+from embersill.aggregator.resp import encode_add
 from embersill.aggregator.server import Server, ServerOptions
 from embersill.aggregator.state import PROBE_NAME, Aggregation, Limits
 from embersill.aggregator.upstream import UpstreamOptions
@@ -49,7 +49,7 @@
         self.ends.clear()
 
 
-class Bench:
+class StateHarness:
     """A state with a clock and a counter that answers at once unless a test takes the forwards itself."""
 
     def __init__(self, **limits: Any) -> None:
@@ -67,7 +67,7 @@
         self.state.forward_ended(forward, ForwardResult(status, total), self.now)
         return self.state.take_answers()
 
-    def pump(self) -> list[Answer]:
+    def forward_all(self) -> list[Answer]:
         """Sends all that is due and has the counter answer it."""
         for _ in range(100_000):
             forward = self.state.next_forward(self.now)
@@ -82,7 +82,7 @@
         answers: list[Answer] = []
         for _ in range(round(seconds / step)):
             self.now += step
-            answers += self.pump()
+            answers += self.forward_all()
         return answers
 
     def run_until_sent(self) -> None:
@@ -92,24 +92,24 @@
     def add(self, name: str, amount: float = 1.0, life: float = LIFE) -> object:
         return self.state.add(name.encode(), amount, life, self.now)
 
-    def known(self, name: str, amount: float = 0.0, life: float = LIFE) -> None:
+    def add_known_name(self, name: str, amount: float = 0.0, life: float = LIFE) -> None:
         """Has the name read, with the lease fresh."""
-        self.pump()
+        self.forward_all()
         self.add(name, amount, life)
-        assert self.pump()
+        assert self.forward_all()
         assert isinstance(self.add(name, 0.0), Total)
 
     def names_sent(self) -> list[bytes]:
         return [f.name for f in self.sent if f.name != PROBE_NAME]
 
 
-def prime(bench: Bench) -> None:
+def acquire_lease(bench: StateHarness) -> None:
     """Gives the state its lease."""
-    bench.pump()
+    bench.forward_all()
     assert bench.state.has_lease(bench.now)
 
 
-class CallerPeer:
+class GatewayClient:
     """A gateway's connection: calls are written and answers read in their order."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -120,7 +120,7 @@
         self.writer.write(hiredis.pack_command(tuple(words)))  # type: ignore[arg-type]
 
     def write_add(self, name: str, amount: float, life_ms: int = 60_000) -> None:
-        self.writer.write(add_text(name.encode(), amount, life_ms))
+        self.writer.write(encode_add(name.encode(), amount, life_ms))
 
     async def read(self) -> Any:
         """The next answer; EOFError once the connection is closed."""
@@ -150,10 +150,10 @@
 
 
 @asynccontextmanager
-async def caller(port: int) -> AsyncIterator[CallerPeer]:
+async def caller(port: int) -> AsyncIterator[GatewayClient]:
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
-        yield CallerPeer(reader, writer)
+        yield GatewayClient(reader, writer)
     finally:
         writer.transport.abort()
 
@@ -196,7 +196,7 @@
         assert "listening on" in line, line
         self.port = int(line.rpartition(":")[2])
 
-    async def end(self, number: int) -> str:
+    async def stop(self, number: int) -> str:
         """Its log, once it has ended on this signal."""
         self.child.send_signal(number)
         async with asyncio.timeout(SOON):
@@ -204,7 +204,7 @@
         return log.decode()
 
 
-async def until_ready(peer: CallerPeer) -> None:
+async def until_ready(peer: GatewayClient) -> None:
     """Waits for the lease of an aggregator in another process."""
     async with asyncio.timeout(SOON):
         while not (await peer.statistics())["has_lease"]:
--- a/tests/measure_aggregator.py
+++ b/tests/measure_aggregator.py
@@ -22,7 +22,7 @@
 import hiredis
 import uvloop
 
-from embersill.aggregator.resp import add_text, bulk_text
+from embersill.aggregator.resp import encode_add, encode_bulk_string
 from embersill.lab.peers import HOST
 from tests.aggregators import AggregatorProcess, caller, read_value, until_ready
 
@@ -61,7 +61,7 @@
         while (words := self.reader.gets()) is not False:
             MeasuredCounter.calls += 1
             self.totals[words[1]] += float(words[2])
-            replies.append(bulk_text(b"%.7g" % self.totals[words[1]]))
+            replies.append(encode_bulk_string(b"%.7g" % self.totals[words[1]]))
         self.transport.write(b"".join(replies))
 
 
@@ -108,7 +108,7 @@
     try:
         yield made
     finally:
-        await made.end(15)
+        await made.stop(15)
         counter.close()
 
 
@@ -124,7 +124,7 @@
 
 
 def add_texts(names: list[bytes]) -> list[bytes]:
-    return [add_text(name, 1.0, 60_000) for name in names]
+    return [encode_add(name, 1.0, 60_000) for name in names]
 
 
 def customer_names(many: int, suffix: str = "1") -> list[bytes]:
--- a/tests/test_aggregator_failures.py
+++ b/tests/test_aggregator_failures.py
@@ -10,15 +10,8 @@
 from embersill.aggregator.messages import Busy, BusyReason, Total
 from embersill.lab.peers import HOST, free_port, read_call, total_text
 from tests.aggregators import (
-    AggregatorProcess,
-    Bench,
-    CallerPeer,
-    caller,
-    prime,
-    read_value,
-    serving,
-    until_lease,
-    until_ready,
+    AggregatorProcess, GatewayClient, StateHarness, acquire_lease, caller, read_value,
+    serving, until_lease, until_ready,
 )
 from tests.lists import run
 from tests.peers import SOON, CounterPeer
@@ -82,7 +75,7 @@
                 await until_ready(one)
                 assert await one.add("a.1", 5.0) == 5.0
                 assert await one.add("a.1", 2.0) == 7.0  # not forwarded yet: lost with the process
-                await first.end(signal.SIGKILL)
+                await first.stop(signal.SIGKILL)
             second = AggregatorProcess(*options)
             await second.start()
             async with caller(second.port) as one:
@@ -90,7 +83,7 @@
                 assert await one.add("a.1", 1.0) == 6.0
                 assert await one.add("a.1", 1.0) == 7.0
                 await until_counted(counter, "a.1", 7.0)
-            await second.end(signal.SIGTERM)
+            await second.stop(signal.SIGTERM)
 
     run(test)
 
@@ -282,8 +275,8 @@
 
 
 def test_a_region_apart_for_long_turns_away_and_joins_without_a_burst() -> None:
-    bench = Bench(upstream_calls=50.0, lease=1.0, window=0.1, names=5_000, wait=1.0)
-    prime(bench)
+    bench = StateHarness(upstream_calls=50.0, lease=1.0, window=0.1, names=5_000, wait=1.0)
+    acquire_lease(bench)
     for first in range(0, 1_000, 20):
         for number in range(first, first + 20):
             bench.add(f"c{number}.1", 1.0)
@@ -319,9 +312,9 @@
 
 
 def test_apart_for_less_than_a_names_life_amounts_go_up_on_return() -> None:
-    bench = Bench(lease=1.0, window=0.1, upstream_calls=1000.0)
+    bench = StateHarness(lease=1.0, window=0.1, upstream_calls=1000.0)
     for number in range(20):
-        bench.known(f"c{number}.1", 1.0)
+        bench.add_known_name(f"c{number}.1", 1.0)
     for number in range(20):
         assert bench.add(f"c{number}.1", 2.0) == Total(3.0)
     bench.now += 30.0
@@ -351,7 +344,7 @@
             async with asyncio.timeout(SOON):
                 while server.connections:
                     await asyncio.sleep(0.01)
-            assert not server.callers
+            assert not server.deferred_replies
 
     run(test)
 
@@ -380,7 +373,7 @@
     run(test)
 
 
-async def last_total(peer: CallerPeer, many: int) -> float:
+async def last_total(peer: GatewayClient, many: int) -> float:
     """The last of so many totals, of which each is above the one before it."""
     last = 0.0
     for _ in range(many):
--- a/tests/test_aggregator_orders.py
+++ b/tests/test_aggregator_orders.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from embersill.aggregator.messages import Busy, Forward, ForwardResult, ForwardStatus, Total, Unknown, Wait
-from embersill.aggregator.pacing import BACKOFF_LONGEST
+from embersill.aggregator.pacing import MAX_BACKOFF
 from embersill.aggregator.state import INDEX_SLACK, PROBE_NAME, Aggregation, Limits
 from tests.aggregators import CounterModel
 
@@ -27,7 +27,7 @@
 LIMITS = Limits(
     names=4, waiting=6, window=0.1, upstream_calls=1000.0, lease=1.0, wait=0.2, stale=0.5, in_flight=8
 )
-OLDEST = PATIENCE + BACKOFF_LONGEST + 2 * LIMITS.window + 3 * STEP  # of an amount, if upstream answers
+OLDEST = PATIENCE + MAX_BACKOFF + 2 * LIMITS.window + 3 * STEP  # of an amount, if upstream answers
 LOSS_SPAN = OLDEST + LIMITS.lease  # a loss is of calls that were told within this
 LONGEST_RUN = 50.0  # seconds: lasting names live for 60
 CALLS = st.lists(
--- a/tests/test_aggregator_server.py
+++ b/tests/test_aggregator_server.py
@@ -12,8 +12,8 @@
 import pytest
 
 from embersill.aggregator.messages import Forward, ForwardResult, ForwardStatus
-from embersill.aggregator.resp import CallError, read_add, read_result
-from embersill.aggregator.server import MOST_CALL_BYTES, MOST_UNANSWERED
+from embersill.aggregator.resp import MalformedCall, parse_add, parse_result
+from embersill.aggregator.server import MAX_CALL_BYTES, MAX_UNANSWERED
 from embersill.aggregator.upstream import Upstream, UpstreamOptions
 from embersill.lab.peers import HOST, free_port, read_call, reset
 from tests.aggregators import AggregatorProcess, caller, read_value, serving, until_lease, until_ready
@@ -48,14 +48,14 @@
     ],
 )
 def test_malformed_calls_are_refused(words: list[bytes]) -> None:
-    with pytest.raises(CallError):
-        read_add([b"CNT.ADD", *words])
+    with pytest.raises(MalformedCall):
+        parse_add([b"CNT.ADD", *words])
 
 
 def test_calls_at_the_edges_of_their_form_are_read() -> None:
-    call = read_add([b"CNT.ADD", b"a" * 64, b"-1e9", b"99999"])
+    call = parse_add([b"CNT.ADD", b"a" * 64, b"-1e9", b"99999"])
     assert (call.amount, call.life) == (-1e9, 60.0)
-    assert read_add([b"CNT.ADD", b"\xff\x00", b"+.5"[1:].rjust(4, b"0"), b"1"]).amount == 0.5
+    assert parse_add([b"CNT.ADD", b"\xff\x00", b"+.5"[1:].rjust(4, b"0"), b"1"]).amount == 0.5
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     ],
 )
 def test_only_a_number_is_a_total(reply: object, status: ForwardStatus) -> None:
-    assert read_result(reply).status is status
+    assert parse_result(reply).status is status
 
 
 def test_calls_are_summed_and_forwarded() -> None:
@@ -146,7 +146,7 @@
 def test_a_call_without_end_is_closed() -> None:
     async def test() -> None:
         async with serving(f"{HOST}:{free_port()}") as server, caller(server.port) as one:
-            one.writer.write(b"*1\r\n$900000000\r\n" + b"x" * (MOST_CALL_BYTES + 100))
+            one.writer.write(b"*1\r\n$900000000\r\n" + b"x" * (MAX_CALL_BYTES + 100))
             assert read_value(await one.read()) == "ERR"
             with pytest.raises((EOFError, ConnectionError)):
                 await one.read()
@@ -156,7 +156,7 @@
 
 def test_connections_are_bounded() -> None:
     async def test() -> None:
-        async with serving(f"{HOST}:{free_port()}", {"connections": 2}) as server:
+        async with serving(f"{HOST}:{free_port()}", {"max_connections": 2}) as server:
             async with caller(server.port) as one, caller(server.port) as two:
                 for peer in (one, two):
                     peer.write("PING")
@@ -180,7 +180,7 @@
 def test_idle_connections_are_closed() -> None:
     async def test() -> None:
         upstream = f"{HOST}:{free_port()}"
-        async with serving(upstream, {"idle_limit": 0.1}) as server, caller(server.port) as one:
+        async with serving(upstream, {"idle_timeout": 0.1}) as server, caller(server.port) as one:
             one.write("PING")
             assert await one.read() == b"PONG"
             with pytest.raises((EOFError, ConnectionError)):
@@ -211,13 +211,13 @@
         async with serving(counter.address, lease=SOON) as server, caller(server.port) as one:
             await until_lease(server)
             counter.free.clear()
-            many = 40 * MOST_UNANSWERED
+            many = 40 * MAX_UNANSWERED
             for number in range(many):
                 one.write_add(f"c{number % 100}.1", 1.0)
             await asyncio.sleep(0.3)
             connection = next(iter(server.connections))
             held = len(connection.replies)
-            assert MOST_UNANSWERED < held < many / 2
+            assert MAX_UNANSWERED < held < many / 2
             counter.free.set()
             for _ in range(many):
                 assert isinstance(read_value(await one.read()), float)
@@ -401,7 +401,7 @@
             await until_ready(one)
             assert await one.add("a.1", 1.0) == 1.0
             assert await one.add("a.1", 6.0) == 7.0
-            log = await program.end(signal.SIGTERM)
+            log = await program.stop(signal.SIGTERM)
         assert program.child.returncode == 0, log
         assert counter.sums["a.1"] == 7.0
         assert "ended drained" in log
@@ -422,7 +422,7 @@
             await one.add("a.1", 1.0)
             counter.free.clear()
             await one.add("a.1", 6.0)
-            log = await program.end(signal.SIGTERM)
+            log = await program.stop(signal.SIGTERM)
         assert program.child.returncode == 0, log
         assert "amounts not forwarded" in log
         await counter.stop()
@@ -444,7 +444,7 @@
             assert (listed["instanceId"], listed["hostPort"]) == ("agg-1", f"{HOST}:7")
             assert (listed["zone"], listed["machineType"]) == ("z1", "aggregator")
             assert listed["lifecycle"] == "SERVING"
-            ending = asyncio.create_task(program.end(signal.SIGTERM))
+            ending = asyncio.create_task(program.stop(signal.SIGTERM))
             await directory.until(lambda status: status["draining"] == 1)
             async with caller(program.port) as one:
                 await until_ready(one)
@@ -461,8 +461,8 @@
 ) -> None:
     from embersill.aggregator import membership
 
-    monkeypatch.setattr(membership, "HEARTBEAT", 0.05)
-    monkeypatch.setattr(membership, "RETRY_AFTER", 0.05)
+    monkeypatch.setattr(membership, "HEARTBEAT_INTERVAL", 0.05)
+    monkeypatch.setattr(membership, "RETRY_DELAY", 0.05)
 
     async def test() -> None:
         async with served(tmp_path) as (_, directory):
