--- a/embersill/aggregator/__init__.py
+++ b/embersill/aggregator/__init__.py
@@ -1,4 +1,4 @@
-"""Aggregated accounting: sums the gateways' counter calls by name and forwards one call a name and window.
+"""Aggregator: sums the gateways' counter calls by name and forwards one call per name and window.
 
-A program of its own; the gateway never imports it. See docs/aggregation.md.
+A separate program that the gateway never imports. See docs/aggregation.md.
 """
--- a/embersill/aggregator/__main__.py
+++ b/embersill/aggregator/__main__.py
@@ -1,4 +1,4 @@
-"""The aggregator as a program: its options, its start, and an end in order on SIGTERM."""
+"""The aggregator program: command line, start, and orderly shutdown on SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from embersill.aggregator.state import Limits
 from embersill.aggregator.upstream import UpstreamOptions
 
-RESERVED_DESCRIPTORS = 64  # for upstream, the list service, the log
+RESERVED_DESCRIPTORS = 64  # file descriptors for upstream, the list service and the log
 LOG_INTERVAL = 10.0  # seconds
 
 log = logging.getLogger("embersill.aggregator")
@@ -28,141 +28,149 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramOptions:
-    """All that is told on the command line; times in seconds."""
+    """All command-line options; times in seconds."""
 
     server: ServerOptions
     limits: Limits
     upstream: UpstreamOptions
     membership: MembershipOptions | None
-    drain_notice: float
-    drain_timeout: float
+    drain_notice: float  # between the DRAINING registration and the refusal of calls
+    drain_timeout: float  # for the forwards that remain
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT; port 0 is allowed. Raises ArgumentTypeError on anything else."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdecimal() or int(port) > 65535:
-        raise argparse.ArgumentTypeError(f"{text!r} is no HOST:PORT")
+        raise argparse.ArgumentTypeError(f"{text!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
 def parse_remote_address(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT with a port other than 0."""
     address = parse_address(text)
     if address[1] == 0:
-        raise argparse.ArgumentTypeError(f"{text!r} names no port")
+        raise argparse.ArgumentTypeError(f"{text!r} has no port to connect to")
     return address
 
 
-def number_in_range(least: float, most: float) -> Callable[[str], float]:
-    def read(text: str) -> float:
+def number_in_range(minimum: float, maximum: float) -> Callable[[str], float]:
+    """Returns a parser of numbers from `minimum` to `maximum`, for argparse."""
+
+    def parse(text: str) -> float:
         try:
             value = float(text)
         except ValueError:
             value = float("nan")
-        if not least <= value <= most:
-            raise argparse.ArgumentTypeError(f"{text!r} is no number from {least:g} to {most:g}")
+        if not minimum <= value <= maximum:
+            raise argparse.ArgumentTypeError(f"{text!r} is not a number from {minimum:g} to {maximum:g}")
         return value
 
-    return read
+    return parse
 
 
 class OneLineParser(argparse.ArgumentParser):
-    """Tells bad use in one line, without the list of options."""
+    """Reports usage errors in one line, without the list of options."""
 
     def error(self, message: str) -> NoReturn:
-        self.exit(2, f"embersill.aggregator: {message} (--help has the options)\n")
+        self.exit(2, f"embersill.aggregator: {message} (see --help)\n")
 
 
 def build_parser() -> argparse.ArgumentParser:
-    made = OneLineParser(
+    """Builds the command line."""
+    parser = OneLineParser(
         prog="python -m embersill.aggregator",
-        description="Sums counter calls by name and forwards one call a name and window upstream.",
-        epilog="Ends with 0 after SIGTERM, with 1 where it could not start, with 2 on bad use. "
-        "docs/aggregation.md has the design and its bounds.",
+        description="Sums counter calls by name and forwards one call per name and window upstream.",
+        epilog="Exit status: 0 after SIGTERM, 1 if it could not start, 2 on a usage error. "
+        "docs/aggregation.md describes the design and its bounds.",
     )
-    add = made.add_argument
+    add = parser.add_argument
     add("--listen", type=parse_address, required=True, metavar="HOST:PORT",
-        help="where gateways call; port 0 takes a free one, which the log names")
+        help="address to listen on; port 0 takes a free port, which is logged")
     add("--upstream", type=parse_remote_address, required=True, metavar="HOST:PORT",
         help="the counter, or another aggregator")
     add("--window-ms", type=number_in_range(1, 10_000), default=100.0, metavar="MS",
-        help="between two upstream calls for one name (default %(default)g)")
+        help="minimum time between two upstream calls for one name (default %(default)g)")
     add("--upstream-calls", type=number_in_range(1, 1e6), default=200.0, metavar="N",
-        help="upstream calls a second at the most (default %(default)g)")
+        help="maximum upstream calls per second (default %(default)g)")
     add("--upstream-patience-ms", type=number_in_range(1, 60_000), default=1000.0, metavar="MS",
-        help="for one upstream call (default %(default)g)")
+        help="timeout of an upstream call (default %(default)g)")
     add("--lease-ms", type=number_in_range(10, 60_000), default=1000.0, metavar="MS",
-        help="totals are told for so long after upstream last answered (default %(default)g)")
+        help="time after the last answer from upstream for which totals are served (default %(default)g)")
     add("--wait-ms", type=number_in_range(1, 10_000), default=50.0, metavar="MS",
-        help="a call waits so long for a new name's first total; below the gateways' patience "
+        help="maximum wait of a call for a new name's first total; below the gateways' counter timeout "
         "(default %(default)g)")
     add("--stale-ms", type=number_in_range(1, 60_000), default=1000.0, metavar="MS",
-        help="age at which the total of a name in use is read again (default %(default)g)")
+        help="age from which the total of a name in use is read again (default %(default)g)")
     add("--names", type=number_in_range(1, 1e7), default=100_000, metavar="N",
-        help="names held at the most (default %(default)d)")
+        help="maximum names in the table (default %(default)d)")
     add("--waiting", type=number_in_range(1, 1e6), default=10_000, metavar="N",
-        help="calls that may wait at once (default %(default)d)")
+        help="maximum calls waiting at once (default %(default)d)")
     add("--drain-notice-ms", type=number_in_range(0, 60_000), default=1000.0, metavar="MS",
-        help="after SIGTERM, calls are taken for so long while gateways learn of the drain "
+        help="time after SIGTERM for which calls are accepted while gateways learn of the drain "
         "(default %(default)g; none without a list service)")
     add("--drain-ms", type=number_in_range(0, 60_000), default=2000.0, metavar="MS",
-        help="then, to forward what is held (default %(default)g)")
+        help="time after that to forward the remaining amounts (default %(default)g)")
     add("--directory", type=parse_remote_address, metavar="HOST:PORT",
         help="the list service to register in; needs --id")
     add("--id", metavar="ID", help="this aggregator's instance id in the list")
     add("--zone", default="", metavar="ZONE", help="this aggregator's zone in the list")
     add("--advertise", type=parse_remote_address, metavar="HOST:PORT",
-        help="the address in the list, where it is not the one listened at")
-    return made
+        help="address to register, if it differs from --listen")
+    return parser
 
 
 def join_address(address: tuple[str, int]) -> str:
+    """Formats an address as HOST:PORT, an IPv6 host in brackets."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def raise_descriptor_limit() -> int:
-    """Takes as many descriptors as the system allows; how many connections they are enough for."""
+    """Raises the limit of file descriptors to the hard limit; returns the connections it allows."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return max(1, hard - RESERVED_DESCRIPTORS)
 
 
-def build_options(told: argparse.Namespace, connections: int) -> ProgramOptions:
+def build_options(arguments: argparse.Namespace, connections: int) -> ProgramOptions:
+    """Converts the parsed command line; at most `connections` gateways are accepted."""
     limits = Limits(
-        names=int(told.names),
-        waiting=int(told.waiting),
-        window=told.window_ms / 1000.0,
-        upstream_calls=told.upstream_calls,
-        lease=told.lease_ms / 1000.0,
-        wait=told.wait_ms / 1000.0,
-        stale=told.stale_ms / 1000.0,
+        names=int(arguments.names),
+        waiting=int(arguments.waiting),
+        window=arguments.window_ms / 1000.0,
+        upstream_calls=arguments.upstream_calls,
+        lease=arguments.lease_ms / 1000.0,
+        wait=arguments.wait_ms / 1000.0,
+        stale=arguments.stale_ms / 1000.0,
     )
     membership = None
-    if told.directory is not None:
-        advertised = join_address(told.advertise or told.listen)
-        membership = MembershipOptions(join_address(told.directory), told.id, advertised, told.zone)
+    if arguments.directory is not None:
+        advertised = join_address(arguments.advertise or arguments.listen)
+        membership = MembershipOptions(join_address(arguments.directory), arguments.id, advertised, arguments.zone)
     return ProgramOptions(
-        server=ServerOptions(told.listen[0], told.listen[1], connections),
+        server=ServerOptions(arguments.listen[0], arguments.listen[1], connections),
         limits=limits,
-        upstream=UpstreamOptions(told.upstream[0], told.upstream[1], told.upstream_patience_ms / 1000.0),
+        upstream=UpstreamOptions(arguments.upstream[0], arguments.upstream[1], arguments.upstream_patience_ms / 1000.0),
         membership=membership,
-        drain_notice=told.drain_notice_ms / 1000.0 if membership else 0.0,
-        drain_timeout=told.drain_ms / 1000.0,
+        drain_notice=arguments.drain_notice_ms / 1000.0 if membership else 0.0,
+        drain_timeout=arguments.drain_ms / 1000.0,
     )
 
 
 async def log_figures(server: Server) -> None:
+    """Logs the statistics every LOG_INTERVAL."""
     while True:
         await asyncio.sleep(LOG_INTERVAL)
         log.info("figures %s", json.dumps(server.statistics()))
 
 
 async def run_until_signalled(options: ProgramOptions) -> None:
-    """Runs until SIGTERM or SIGINT."""
+    """Runs the aggregator until SIGTERM or SIGINT, then shuts it down."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     server = Server(options.server, options.limits, options.upstream)
     await server.start()
     log.info("listening on %s", join_address((options.server.host, server.port)))
@@ -176,27 +184,28 @@
 
 
 async def shut_down(server: Server, membership: Membership | None, options: ProgramOptions) -> None:
-    """Sends gateways elsewhere, forwards what is held within bounded time, and closes."""
+    """Marks the registration as draining, forwards the remaining amounts in bounded time, and closes."""
     if membership is not None:
         await membership.drain()
         await asyncio.sleep(options.drain_notice)
     drained = await server.drain(options.drain_timeout)
     if membership is not None:
         await membership.stop()
-    left = server.statistics()
+    remaining = server.statistics()
     await server.stop()
-    log.info("ended %s figures %s", "drained" if drained else "with amounts not forwarded", json.dumps(left))
+    log.info("ended %s figures %s", "drained" if drained else "with amounts not forwarded", json.dumps(remaining))
 
 
 def main() -> int:
-    made = build_parser()
-    told = made.parse_args()
-    if told.directory is not None and not told.id:
-        made.error("--directory needs --id")
-    if told.directory is not None and not told.advertise and told.listen[1] == 0:
-        made.error("--directory needs --advertise where --listen has port 0")
+    """Runs the program; returns its exit status."""
+    parser = build_parser()
+    arguments = parser.parse_args()
+    if arguments.directory is not None and not arguments.id:
+        parser.error("--directory needs --id")
+    if arguments.directory is not None and not arguments.advertise and arguments.listen[1] == 0:
+        parser.error("--directory needs --advertise if --listen has port 0")
     logging.basicConfig(format="%(asctime)s %(name)s: %(message)s", level=logging.INFO)
-    options = build_options(told, raise_descriptor_limit())
+    options = build_options(arguments, raise_descriptor_limit())
     try:
         uvloop.run(run_until_signalled(options))
     except OSError as error:
--- a/embersill/aggregator/pacing.py
+++ b/embersill/aggregator/pacing.py
@@ -1,4 +1,4 @@
-"""Limits the pace of upstream calls: a token bucket, and a backoff after failures."""
+"""Limits the rate of upstream calls: a token bucket, and a backoff after failures."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 MIN_BACKOFF = 0.05  # seconds
 MAX_BACKOFF = 2.0  # seconds
-BURST_WINDOW = 0.1  # seconds' worth of tokens that an idle bucket holds: bounds the burst after a pause
+BURST_WINDOW = 0.1  # seconds of calls that a full bucket holds: bounds the burst after an idle time
 
 
 class TokenBucket:
-    """Grants `rate` calls a second, and after a pause at most `capacity` at once."""
+    """Allows `rate` calls per second on average and at most `capacity` calls at once."""
 
     def __init__(self, rate: float, now: float) -> None:
         self.rate = rate
@@ -19,18 +19,18 @@
         self.refilled_at = now
 
     def has_token(self, now: float) -> bool:
-        """Whether a call may be made now."""
+        """Refills the bucket and returns whether a call may be made now."""
         self.tokens = min(self.capacity, self.tokens + max(0.0, now - self.refilled_at) * self.rate)
         self.refilled_at = max(now, self.refilled_at)
         return self.tokens >= 1.0
 
     def take(self) -> None:
-        """Uses up a token that `has_token` found."""
+        """Removes the token that `has_token` reported."""
         self.tokens -= 1.0
 
 
 class Backoff:
-    """Pauses that double with each failure in a row, jittered so that a fleet does not return together."""
+    """Pauses that double with each consecutive failure, with jitter so that aggregators don't retry in step."""
 
     def __init__(self, generator: random.Random) -> None:
         self.random = generator
@@ -38,7 +38,7 @@
         self.until = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Begins or lengthens the pause; failures of calls sent before the pause do not lengthen it."""
+        """Starts a pause. Failures during a pause are of calls sent before it and don't extend it."""
         if now < self.until:
             return
         longest = min(MAX_BACKOFF, MIN_BACKOFF * 2.0**self.failures)
@@ -46,6 +46,6 @@
         self.until = now + longest * self.random.uniform(0.5, 1.0)
 
     def record_success(self) -> None:
-        """Ends the pause."""
+        """Ends the pause and resets its length."""
         self.failures = 0
         self.until = 0.0
