--- a/embersill/aggregator/__main__.py
+++ b/embersill/aggregator/__main__.py
@@ -147,11 +147,15 @@
     membership = None
     if arguments.directory is not None:
         advertised = join_address(arguments.advertise or arguments.listen)
-        membership = MembershipOptions(join_address(arguments.directory), arguments.id, advertised, arguments.zone)
+        membership = MembershipOptions(
+            join_address(arguments.directory), arguments.id, advertised, arguments.zone
+        )
     return ProgramOptions(
         server=ServerOptions(arguments.listen[0], arguments.listen[1], connections),
         limits=limits,
-        upstream=UpstreamOptions(arguments.upstream[0], arguments.upstream[1], arguments.upstream_patience_ms / 1000.0),
+        upstream=UpstreamOptions(
+            arguments.upstream[0], arguments.upstream[1], arguments.upstream_patience_ms / 1000.0
+        ),
         membership=membership,
         drain_notice=arguments.drain_notice_ms / 1000.0 if membership else 0.0,
         drain_timeout=arguments.drain_ms / 1000.0,
@@ -193,7 +197,9 @@
         await membership.stop()
     remaining = server.statistics()
     await server.stop()
-    log.info("ended %s figures %s", "drained" if drained else "with amounts not forwarded", json.dumps(remaining))
+    log.info(
+        "ended %s figures %s", "drained" if drained else "with amounts not forwarded", json.dumps(remaining)
+    )
 
 
 def main() -> int:
--- a/embersill/aggregator/pacing.py
+++ b/embersill/aggregator/pacing.py
@@ -30,7 +30,7 @@
 
 
 class Backoff:
-    """Pauses that double with each consecutive failure, with jitter so that aggregators don't retry in step."""
+    """Pauses that double with each consecutive failure, with jitter so that aggregators retry apart."""
 
     def __init__(self, generator: random.Random) -> None:
         self.random = generator
--- a/embersill/aggregator/server.py
+++ b/embersill/aggregator/server.py
@@ -1,4 +1,4 @@
-"""The RESP2 server: reads gateways' calls, asks the state, and carries its forwards upstream."""
+"""RESP2 server: passes gateways' calls to the aggregation state and sends its forwards upstream."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from embersill.aggregator.state import Aggregation, Limits
 from embersill.aggregator.upstream import Upstream, UpstreamOptions
 
-TICK_INTERVAL = 0.005  # seconds between looks at what is due
+TICK_INTERVAL = 0.005  # seconds between checks for due forwards and expired waits
 IDLE_TIMEOUT = 10.0  # seconds after which an unused connection is closed
-IDLE_CHECK_INTERVAL = 1.0  # seconds between looks for idle connections
-MAX_CALL_BYTES = 64 * 1024  # of one call that is not complete
-MAX_OUTPUT_BYTES = 256 * 1024  # unread by one caller: then it is closed
-MAX_UNANSWERED = 1_024  # calls of one connection: then it is not read until half are answered
-BACKLOG = 4_096  # connections not yet accepted: a fleet that returns together
+IDLE_CHECK_INTERVAL = 1.0  # seconds between scans for idle connections
+MAX_CALL_BYTES = 64 * 1024  # received of an incomplete call; beyond it the connection is closed
+MAX_OUTPUT_BYTES = 256 * 1024  # that one gateway has not read; beyond it the connection is aborted
+MAX_UNANSWERED = 1_024  # calls of a connection; beyond it reading pauses until at most half remain
+BACKLOG = 4_096  # connections waiting for accept: a whole fleet may reconnect at once
 
 
 @dataclass(slots=True, eq=False)
 class PendingReply:
-    """A reply's place in a connection's order."""
+    """A position in a connection's sequence of replies; `text` is None until the reply is known."""
 
     text: bytes | None = None
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """Where the server listens and how much it takes."""
+    """Where the server listens, and the limits of its connections."""
 
     host: str
     port: int
@@ -54,14 +54,14 @@
 
 @dataclass(slots=True, eq=False)
 class DeferredReply:
-    """Who waits for a ticket's answer."""
+    """Where the reply to a waiting call belongs."""
 
     connection: ServerConnection
     reply: PendingReply = field(default_factory=PendingReply)
 
 
 class ServerConnection(asyncio.Protocol):
-    """A gateway's connection: calls are answered in their order."""
+    """A gateway's connection. Replies are sent in the order of the calls."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -74,7 +74,7 @@
         self.reading_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport doesn't subclass it
         if len(self.server.connections) >= self.server.options.max_connections:
             self.server.figures.connections_refused += 1
             self.transport.abort()
@@ -99,29 +99,29 @@
             return self.reject_and_close("the call is too long")
         self.flush()
 
-    def reject_and_close(self, why: str) -> None:
-        """Answers what can be answered and closes: the bytes that follow can't be read."""
+    def reject_and_close(self, message: str) -> None:
+        """Sends the replies that are ready and an error, then closes: the stream can't be parsed further."""
         self.server.figures.calls_malformed += 1
-        self.reply(resp.encode_error(why))
+        self.reply(resp.encode_error(message))
         self.flush()
         if self.transport is not None:
             self.transport.close()
 
     def reply(self, text: bytes) -> None:
-        """Answers the call just read, behind those before it."""
+        """Replies to the call just read, after the replies to earlier calls."""
         if self.replies:
             self.replies.append(PendingReply(text))
         else:
             self.output.append(text)
 
     def defer_reply(self) -> DeferredReply:
-        """Keeps the place of an answer that is still to come."""
-        caller = DeferredReply(self)
-        self.replies.append(caller.reply)
-        return caller
+        """Reserves the position of a reply that is not known yet."""
+        deferred = DeferredReply(self)
+        self.replies.append(deferred.reply)
+        return deferred
 
     def flush(self) -> None:
-        """Writes the answers that are ready and next in order."""
+        """Writes the replies that are ready, up to the first that is not."""
         while self.replies and (text := self.replies[0].text) is not None:
             self.output.append(text)
             self.replies.popleft()
@@ -137,6 +137,7 @@
             self.transport.abort()
 
     def apply_backpressure(self) -> None:
+        """Pauses or resumes reading by the number of unanswered calls."""
         if self.transport is None or self.transport.is_closing():
             return
         if not self.reading_paused and len(self.replies) > MAX_UNANSWERED:
@@ -147,6 +148,7 @@
             self.transport.resume_reading()
 
     def close_if_idle(self, now: float) -> None:
+        """Closes the connection if nothing arrived for the idle timeout and no reply is due."""
         idle = now - self.last_read_at >= self.server.options.idle_timeout
         if idle and not self.replies and self.transport is not None:
             self.server.figures.connections_idle += 1
@@ -157,7 +159,7 @@
 
 
 class Server:
-    """One aggregator: its state, its callers and its way upstream."""
+    """An aggregator: its state, the gateways' connections and the upstream client."""
 
     def __init__(
         self, options: ServerOptions, limits: Limits, upstream: UpstreamOptions, seed: int | None = None
@@ -183,7 +185,7 @@
     # start and stop
 
     async def start(self) -> None:
-        """Listens; the first probe goes upstream at once."""
+        """Listens, and starts sending upstream: the first probe is due at once."""
         self.listener = await self.loop.create_server(
             lambda: ServerConnection(self), self.options.host, self.options.port, backlog=BACKLOG
         )
@@ -194,24 +196,27 @@
 
     @property
     def port(self) -> int:
-        """The port it listens at."""
+        """The port the server listens on."""
         assert self.listener is not None
         return int(self.listener.sockets[0].getsockname()[1])
 
-    async def drain(self, within: float) -> bool:
-        """Takes no more calls and forwards what is held, for so many seconds; whether all of it went."""
+    async def drain(self, timeout: float) -> bool:
+        """Rejects further calls and forwards the remaining amounts for at most `timeout` seconds.
+
+        Returns whether all of them were forwarded.
+        """
         self.state.drain()
-        deadline = self.loop.time() + within
+        deadline = self.loop.time() + timeout
         while not self.state.is_drained() and self.loop.time() < deadline:
             await asyncio.sleep(TICK_INTERVAL)
         return self.state.is_drained()
 
     async def stop(self) -> None:
-        """Closes all connections; what is still held is lost."""
+        """Closes all connections; amounts that are not forwarded are lost."""
         if self.listener is not None:
             self.listener.close()
-        for timer in self.tasks:
-            timer.cancel()
+        for task in self.tasks:
+            task.cancel()
         if self.scheduled_pump is not None:
             self.scheduled_pump.cancel()
         self.upstream.close()
@@ -223,7 +228,7 @@
     # calls
 
     def execute(self, message: object, connection: ServerConnection) -> None:
-        """Carries out one call."""
+        """Executes one call, or replies with an error if it is malformed."""
         if not isinstance(message, list) or not message or not all(isinstance(w, bytes) for w in message):
             return self.reply_malformed("a call is an array of bulk strings", connection)
         command = self.commands.get(message[0].upper())
@@ -231,11 +236,13 @@
             return self.reply_malformed("unknown command", connection)
         command(message, connection)
 
-    def reply_malformed(self, why: str, connection: ServerConnection) -> None:
+    def reply_malformed(self, message: str, connection: ServerConnection) -> None:
+        """Replies to a malformed call; the connection stays open."""
         self.figures.calls_malformed += 1
-        connection.reply(resp.encode_error(why))
+        connection.reply(resp.encode_error(message))
 
     def execute_add(self, words: list[bytes], connection: ServerConnection) -> None:
+        """Executes `CNT.ADD`; the reply is deferred while the name's first total is awaited."""
         try:
             call = resp.parse_add(words)
         except resp.MalformedCall as error:
@@ -248,10 +255,11 @@
             connection.reply(resp.encode_reply(reply))
 
     def execute_statistics(self, words: list[bytes], connection: ServerConnection) -> None:
+        """Executes `AGG.STATS`: the statistics as a JSON object."""
         connection.reply(resp.encode_bulk_string(json.dumps(self.statistics()).encode()))
 
     def statistics(self) -> dict[str, Any]:
-        """Figures of the state and of the server."""
+        """Returns the figures of the state and of the server."""
         return {
             **self.state.statistics(self.loop.time()),
             "connections": len(self.connections),
@@ -264,36 +272,40 @@
     # forwards
 
     def schedule_pump(self) -> None:
-        """Sends what is due once the calls at hand are read, so that they share their forwards."""
+        """Schedules `pump` after the data at hand is read, so that calls for one name share a forward."""
         if self.scheduled_pump is None:
             self.scheduled_pump = self.loop.call_soon(self.pump)
 
     def pump(self) -> None:
-        """Sends the forwards that are due and answers the calls that waited."""
+        """Sends the forwards that are due and the replies that have become known."""
         self.scheduled_pump = None
         while (forward := self.state.next_forward(self.loop.time())) is not None:
             self.upstream.send(forward)
         self.deliver_answers()
 
     def on_forward_ended(self, forward: Forward, result: ForwardResult) -> None:
+        """Applies the result of a forward."""
         self.state.forward_ended(forward, result, self.loop.time())
         self.deliver_answers()
 
     def deliver_answers(self) -> None:
+        """Sends the deferred replies that have become known."""
         answered: dict[ServerConnection, None] = {}
         for answer in self.state.take_answers():
-            caller = self.deferred_replies.pop(answer.ticket)
-            caller.reply.text = resp.encode_reply(answer.reply)
-            answered[caller.connection] = None
+            deferred = self.deferred_replies.pop(answer.ticket)
+            deferred.reply.text = resp.encode_reply(answer.reply)
+            answered[deferred.connection] = None
         for connection in answered:
             connection.flush()
 
     async def pump_periodically(self) -> None:
+        """Pumps every TICK_INTERVAL."""
         while True:
             self.pump()
             await asyncio.sleep(TICK_INTERVAL)
 
     async def close_idle_periodically(self) -> None:
+        """Closes idle connections every IDLE_CHECK_INTERVAL."""
         while True:
             await asyncio.sleep(IDLE_CHECK_INTERVAL)
             now = self.loop.time()
