--- a/embersill/aggregator/state.py
+++ b/embersill/aggregator/state.py
@@ -31,7 +31,7 @@
 MAX_AMOUNT = 1e9  # of one call: the protocol's limit
 AMOUNT_EPSILON = 1e-9  # smaller sums are rounding errors
 FALL_TOLERANCE = 1e-6  # relative: totals are exact to seven digits
-REFRESH_WEIGHT = 1e-3  # units that a needed reading counts in `Entry.urgency`
+REFRESH_WEIGHT = 1e-3  # units added to each amount in `Entry.urgency`, so that needed readings count too
 KNOWN_NAME_INTERVAL = 4  # forwards, of which one goes to a known name even while new names wait
 PROBES_PER_LEASE = 3.0  # probes within a lease when nothing else is sent
 INDEX_SLACK = 1_000  # entries that an index may hold beyond twice the table before it is compacted
@@ -47,7 +47,7 @@
     window: float = 0.1  # minimum time between two forwards of a name
     upstream_calls: float = 200.0  # per second
     in_flight: int = 64  # forwards and probes
-    lease: float = 1.0  # time after a call that upstream answered for which totals are served
+    lease: float = 1.0  # totals are served this long after sending a call that upstream answered
     wait: float = 0.05  # of a call for a new name's first total, unless its amount is in flight
     stale: float = 1.0  # age from which the total of a name in use is read again
 
@@ -321,7 +321,7 @@
         self.answers.append(Answer(waiter.ticket, reply))
 
     def take_answers(self) -> list[Answer]:
-        """Returns the replies to waiting calls since the last time it was called."""
+        """Returns and clears the collected replies."""
         answers, self.answers = self.answers, []
         return answers
 
--- a/tests/aggregators.py
+++ b/tests/aggregators.py
@@ -1,4 +1,4 @@
-"""Counter models and callers for the aggregator's tests."""
+"""Counter model, state harness, gateway client and aggregator processes for the aggregator's tests."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.lists import ROOT
 from tests.peers import SOON
 
-LIFE = 60.0  # seconds: of names whose end is not what a test is about
+LIFE = 60.0  # seconds: default lifetime of a name in tests that do not depend on it
 
 
 class CounterModel:
-    """The counter in memory: names with totals and lives."""
+    """The counter in memory: names with their totals and expiry times."""
 
     def __init__(self) -> None:
         self.totals: dict[bytes, float] = {}
@@ -50,7 +50,10 @@
 
 
 class StateHarness:
-    """A state with a clock and a counter that answers at once unless a test takes the forwards itself."""
+    """An aggregation state with a manual clock, and a counter that answers at once.
+
+    A test may also take the forwards itself and choose their results.
+    """
 
     def __init__(self, **limits: Any) -> None:
         self.now = 100.0
@@ -58,17 +61,19 @@
         self.state = Aggregation(Limits(**limits), self.now, seed=1)
         self.sent: list[Forward] = []
 
-    def next(self) -> Forward:
+    def next_forward(self) -> Forward:
+        """Returns the forward that is due; its result is up to the test."""
         forward = self.state.next_forward(self.now)
         assert forward is not None
         return forward
 
-    def end(self, forward: Forward, status: ForwardStatus, total: float = 0.0) -> list[Answer]:
+    def finish(self, forward: Forward, status: ForwardStatus, total: float = 0.0) -> list[Answer]:
+        """Ends a forward; returns the replies that became known."""
         self.state.forward_ended(forward, ForwardResult(status, total), self.now)
         return self.state.take_answers()
 
     def forward_all(self) -> list[Answer]:
-        """Sends all that is due and has the counter answer it."""
+        """Lets the counter answer all forwards that are due; returns the replies that became known."""
         for _ in range(100_000):
             forward = self.state.next_forward(self.now)
             if forward is None:
@@ -78,22 +83,22 @@
         raise AssertionError("forwards without end")
 
     def run(self, seconds: float, step: float = 0.01) -> list[Answer]:
-        """Lets time pass with a counter that answers."""
+        """Advances the clock in steps, with a counter that answers."""
         answers: list[Answer] = []
         for _ in range(round(seconds / step)):
             self.now += step
             answers += self.forward_all()
         return answers
 
-    def run_until_sent(self) -> None:
-        """Lets time pass until a forward may go."""
+    def advance_to_next_send(self) -> None:
+        """Advances the clock past the window and the backoff."""
         self.now = max(self.now + 0.2, self.state.backoff.until)
 
     def add(self, name: str, amount: float = 1.0, life: float = LIFE) -> object:
         return self.state.add(name.encode(), amount, life, self.now)
 
     def add_known_name(self, name: str, amount: float = 0.0, life: float = LIFE) -> None:
-        """Has the name read, with the lease fresh."""
+        """Adds a name and reads its first total, with a fresh lease."""
         self.forward_all()
         self.add(name, amount, life)
         assert self.forward_all()
@@ -103,14 +108,14 @@
         return [f.name for f in self.sent if f.name != PROBE_NAME]
 
 
-def acquire_lease(bench: StateHarness) -> None:
-    """Gives the state its lease."""
-    bench.forward_all()
-    assert bench.state.has_lease(bench.now)
+def acquire_lease(harness: StateHarness) -> None:
+    """Answers the first probe, which starts the lease."""
+    harness.forward_all()
+    assert harness.state.has_lease(harness.now)
 
 
 class GatewayClient:
-    """A gateway's connection: calls are written and answers read in their order."""
+    """A gateway's connection, with calls and replies in order."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -123,7 +128,7 @@
         self.writer.write(encode_add(name.encode(), amount, life_ms))
 
     async def read(self) -> Any:
-        """The next answer; EOFError once the connection is closed."""
+        """Returns the next reply; raises EOFError if the connection is closed."""
         async with asyncio.timeout(SOON):
             while (reply := self.parser.gets()) is False:
                 data = await self.reader.read(65536)
@@ -133,7 +138,7 @@
         return reply
 
     async def add(self, name: str, amount: float, life_ms: int = 60_000) -> float | str:
-        """The total, or the first word of an error, or "none" for an answer without a number."""
+        """Returns the total, the first word of an error, or "none" for a reply without a number."""
         self.write_add(name, amount, life_ms)
         return read_value(await self.read())
 
@@ -144,6 +149,7 @@
 
 
 def read_value(reply: Any) -> float | str:
+    """Converts a reply to a total, the first word of an error, or "none"."""
     if isinstance(reply, hiredis.ReplyError):
         return str(reply).split(" ")[0]
     return "none" if reply is None else float(reply)
@@ -162,23 +168,23 @@
 async def serving(
     upstream: str, options: dict[str, Any] | None = None, patience: float = 1.0, port: int = 0, **limits: Any
 ) -> AsyncIterator[Server]:
-    """An aggregator in this loop, with its lease unless the upstream is down."""
+    """Runs an aggregator in this event loop."""
     host, _, upstream_port = upstream.rpartition(":")
-    made = Server(
+    server = Server(
         ServerOptions(HOST, port, **(options or {})),
         Limits(**{"wait": SOON, "lease": SOON, **limits}),
         UpstreamOptions(host, int(upstream_port), patience),
         seed=1,
     )
-    await made.start()
+    await server.start()
     try:
-        yield made
+        yield server
     finally:
-        await made.stop()
+        await server.stop()
 
 
 class AggregatorProcess:
-    """The program as a process of its own."""
+    """The aggregator program as a separate process."""
 
     def __init__(self, *options: str) -> None:
         self.options = options
@@ -196,22 +202,23 @@
         assert "listening on" in line, line
         self.port = int(line.rpartition(":")[2])
 
-    async def stop(self, number: int) -> str:
-        """Its log, once it has ended on this signal."""
-        self.child.send_signal(number)
+    async def stop(self, signal_number: int) -> str:
+        """Sends a signal, waits for the exit and returns the log."""
+        self.child.send_signal(signal_number)
         async with asyncio.timeout(SOON):
             _, log = await self.child.communicate()
         return log.decode()
 
 
 async def until_ready(peer: GatewayClient) -> None:
-    """Waits for the lease of an aggregator in another process."""
+    """Waits until an aggregator in another process has its lease."""
     async with asyncio.timeout(SOON):
         while not (await peer.statistics())["has_lease"]:
             await asyncio.sleep(0.01)
 
 
 async def until_lease(server: Server, held: bool = True) -> None:
+    """Waits until an aggregator in this process has, or has lost, its lease."""
     async with asyncio.timeout(SOON):
         while server.state.has_lease(server.loop.time()) is not held:
             await asyncio.sleep(0.005)
--- a/tests/test_aggregator_failures.py
+++ b/tests/test_aggregator_failures.py
@@ -1,4 +1,4 @@
-"""Accounting when aggregators, the counter or the network between them fail, and under load."""
+"""Accounting during failures of aggregators, the counter and the network between them, and under load."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class FaultyCounter(CounterPeer):
-    """A counter that can be cut off (hears nothing), mute (adds, answers nothing) or slow."""
+    """A counter that can be cut off (ignores calls), mute (adds without answering) or slow."""
 
     def __init__(self) -> None:
         super().__init__()
         self.cut_off = False
         self.mute = False
-        self.delay = 0.0  # seconds that a call takes
+        self.delay = 0.0  # seconds per call
         self.turn = asyncio.Lock()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -49,24 +49,26 @@
 
 
 @asynccontextmanager
-async def counting() -> AsyncIterator[FaultyCounter]:
-    made = FaultyCounter()
-    await made.start()
+async def faulty_counter() -> AsyncIterator[FaultyCounter]:
+    """Runs a faulty counter in this event loop."""
+    counter = FaultyCounter()
+    await counter.start()
     try:
-        yield made
+        yield counter
     finally:
-        await made.stop()
+        await counter.stop()
 
 
 async def until_counted(counter: CounterPeer, name: str, total: float) -> None:
+    """Waits until the counter holds this total."""
     async with asyncio.timeout(SOON):
         while abs(counter.sums.get(name, 0.0) - total) > 1e-6:
             await asyncio.sleep(0.01)
 
 
-def test_killed_and_started_again_empty_it_reads_totals_from_upstream() -> None:
+def test_aggregator_restarted_empty_reads_totals_from_upstream() -> None:
     async def test() -> None:
-        async with counting() as counter:
+        async with faulty_counter() as counter:
             port = str(free_port())
             options = ("--listen", f"{HOST}:{port}", "--upstream", counter.address, "--wait-ms", "5000")
             first = AggregatorProcess(*options, "--window-ms", "5000")
@@ -74,7 +76,7 @@
             async with caller(first.port) as one:
                 await until_ready(one)
                 assert await one.add("a.1", 5.0) == 5.0
-                assert await one.add("a.1", 2.0) == 7.0  # not forwarded yet: lost with the process
+                assert await one.add("a.1", 2.0) == 7.0  # not forwarded yet, lost with the process
                 await first.stop(signal.SIGKILL)
             second = AggregatorProcess(*options)
             await second.start()
@@ -88,15 +90,15 @@
     run(test)
 
 
-def test_a_slow_upstream_stretches_windows_and_loses_nothing() -> None:
+def test_slow_upstream_lengthens_windows_and_loses_nothing() -> None:
     async def test() -> None:
-        async with counting() as counter, serving(counter.address, window=0.02) as server:
+        async with faulty_counter() as counter, serving(counter.address, window=0.02) as server:
             await until_lease(server)
             async with caller(server.port) as one:
                 await one.add("a.1", 1.0)
                 counter.delay = 0.15
-                for told in range(2, 102):
-                    assert await one.add("a.1", 1.0) == told  # answered without upstream
+                for total in range(2, 102):
+                    assert await one.add("a.1", 1.0) == total  # answered without upstream
                     await asyncio.sleep(0.005)
                 assert counter.calls_for("a.1") <= 8
                 counter.delay = 0.0
@@ -105,19 +107,19 @@
     run(test)
 
 
-def test_cut_off_it_turns_calls_away_and_on_return_forwards_what_it_took() -> None:
+def test_partitioned_aggregator_rejects_calls_and_later_forwards_accepted_amounts() -> None:
     async def test() -> None:
-        async with counting() as counter:
+        async with faulty_counter() as counter:
             async with serving(counter.address, lease=1.0, window=0.05, patience=0.3) as server:
                 async with caller(server.port) as one:
                     await until_lease(server)
                     assert await one.add("a.1", 5.0) == 5.0
                     counter.cut_off = True
-                    taken = 5.0
+                    accepted = 5.0
                     async with asyncio.timeout(SOON):
-                        while (told := await one.add("a.1", 1.0)) != "BUSY":
-                            taken += 1.0
-                            assert told == taken
+                        while (total := await one.add("a.1", 1.0)) != "BUSY":
+                            accepted += 1.0
+                            assert total == accepted
                             await asyncio.sleep(0.01)
                     for _ in range(20):
                         assert await one.add("a.1", 1.0) == "BUSY"
@@ -125,20 +127,20 @@
                     counter.cut_off = False
                     await until_lease(server)
                     total = await one.add("a.1", 1.0)
-                    assert isinstance(total, float) and total <= taken + 1.0
+                    assert isinstance(total, float) and total <= accepted + 1.0
                     async with asyncio.timeout(SOON):
                         while (await one.statistics())["names_unforwarded"]:
                             await asyncio.sleep(0.02)
                         while await one.add("a.1", 0.0) != counter.sums["a.1"]:
                             await asyncio.sleep(0.02)
                     lost = (await one.statistics())["amount_doubtful"]
-                    assert taken + 1.0 - lost <= counter.sums["a.1"] <= taken + 1.0
+                    assert accepted + 1.0 - lost <= counter.sums["a.1"] <= accepted + 1.0
                     assert "b.1" not in counter.sums
 
     run(test)
 
 
-def test_an_upstream_that_restarts_empty_is_believed() -> None:
+def test_totals_of_an_upstream_that_restarted_empty_are_adopted() -> None:
     async def test() -> None:
         counter = FaultyCounter()
         await counter.start()
@@ -154,7 +156,7 @@
                 while await one.add("a.1", 0.0) == 53.0:
                     await asyncio.sleep(0.01)
             counted = again.sums["a.1"]
-            assert counted in (0.0, 3.0)  # the forward that met the restart may be lost, not doubled
+            assert counted in (0.0, 3.0)  # the forward during the restart may be lost, but not added twice
             assert await one.add("a.1", 0.0) == counted
             assert (await one.statistics())["totals_fallen"] == 1
             assert await one.add("a.1", 2.0) == counted + 2.0
@@ -164,32 +166,33 @@
     run(test)
 
 
-def test_totals_that_come_too_late_or_never_add_nothing_twice() -> None:
+def test_late_or_lost_totals_add_nothing_twice() -> None:
     async def test() -> None:
-        async with counting() as counter:
+        async with faulty_counter() as counter:
             async with serving(counter.address, window=0.02, patience=0.1) as server:
                 async with caller(server.port) as one:
                     await until_lease(server)
                     assert await one.add("a.1", 1.0) == 1.0
-                    told = 1.0
+                    expected = 1.0
                     for fault in ("mute", "delay") * 3:
                         counter.mute, counter.delay = fault == "mute", 0.25 if fault == "delay" else 0.0
-                        told += 4.0
+                        expected += 4.0
                         total = await one.add("a.1", 4.0)
-                        assert isinstance(total, float) and total >= told - 4.0
+                        assert isinstance(total, float) and total >= expected - 4.0
                         await asyncio.sleep(0.2)
                         counter.mute, counter.delay = False, 0.0
                         await asyncio.sleep(0.3)
-                    await until_counted(counter, "a.1", told)  # all came, each once, with answers lost
+                    # Each amount arrived once, although replies were lost.
+                    await until_counted(counter, "a.1", expected)
                     assert (await one.statistics())["forwards_by_status"]["unknown"] >= 1
                     async with asyncio.timeout(SOON):
-                        while await one.add("a.1", 0.0) != told:
+                        while await one.add("a.1", 0.0) != expected:
                             await asyncio.sleep(0.02)
 
     run(test)
 
 
-def test_a_total_that_comes_twice_changes_nothing() -> None:
+def test_duplicate_total_changes_nothing() -> None:
     async def test() -> None:
         counter = CounterPeer()
         await counter.start()
@@ -209,9 +212,9 @@
     run(test)
 
 
-def test_an_amount_whose_name_ends_in_the_window_is_dropped_and_counted() -> None:
+def test_amount_of_a_name_that_expires_in_its_window_is_dropped_and_counted() -> None:
     async def test() -> None:
-        async with counting() as counter, serving(counter.address, window=SOON) as server:
+        async with faulty_counter() as counter, serving(counter.address, window=SOON) as server:
             async with caller(server.port) as one:
                 await until_lease(server)
                 assert await one.add("a.1", 2.0, 200) == 2.0
@@ -228,7 +231,7 @@
 def test_two_levels_sum_to_one_total() -> None:
     async def test() -> None:
         async with AsyncExitStack() as stack:
-            counter = await stack.enter_async_context(counting())
+            counter = await stack.enter_async_context(faulty_counter())
             top = await stack.enter_async_context(serving(counter.address, window=0.02))
             await until_lease(top)
             below = [
@@ -254,10 +257,10 @@
     run(test)
 
 
-def test_a_lease_that_ends_above_ends_below() -> None:
+def test_lower_aggregator_loses_its_lease_with_the_upper_one() -> None:
     async def test() -> None:
         async with AsyncExitStack() as stack:
-            counter = await stack.enter_async_context(counting())
+            counter = await stack.enter_async_context(faulty_counter())
             top = await stack.enter_async_context(serving(counter.address, lease=0.5, patience=0.2))
             await until_lease(top)
             below = await stack.enter_async_context(serving(f"{HOST}:{top.port}", lease=0.5))
@@ -274,69 +277,69 @@
     run(test)
 
 
-def test_a_region_apart_for_long_turns_away_and_joins_without_a_burst() -> None:
-    bench = StateHarness(upstream_calls=50.0, lease=1.0, window=0.1, names=5_000, wait=1.0)
-    acquire_lease(bench)
+def test_long_partition_rejects_calls_and_ends_without_a_burst() -> None:
+    harness = StateHarness(upstream_calls=50.0, lease=1.0, window=0.1, names=5_000, wait=1.0)
+    acquire_lease(harness)
     for first in range(0, 1_000, 20):
         for number in range(first, first + 20):
-            bench.add(f"c{number}.1", 1.0)
-        bench.run(0.5)
-    known = [name.decode() for name in bench.state.entries]
+            harness.add(f"c{number}.1", 1.0)
+        harness.run(0.5)
+    known = [name.decode() for name in harness.state.entries]
     assert len(known) == 1_000
-    taken = {name: 1.0 for name in known}
-    bench.run(0.3)
-    sent_before, apart_since = len(bench.sent), bench.now
-    while bench.now - apart_since < 600.0:  # nothing is sent and nothing comes
-        bench.now += 0.25
+    accepted = {name: 1.0 for name in known}
+    harness.run(0.3)
+    sent_before, partitioned_at = len(harness.sent), harness.now
+    while harness.now - partitioned_at < 600.0:  # nothing is sent or received
+        harness.now += 0.25
         for name in known[:50]:
-            reply = bench.add(name, 1.0)
+            reply = harness.add(name, 1.0)
             if isinstance(reply, Total):
-                taken[name] += 1.0
-                assert bench.now - apart_since <= 1.0 + 0.4
+                accepted[name] += 1.0
+                assert harness.now - partitioned_at <= 1.0 + 0.4
             else:
                 assert reply == Busy(BusyReason.CUT_OFF)
-    assert len(bench.sent) == sent_before
-    assert bench.state.figures.amount_expired == sum(taken.values()) - 1_000 > 0
-    assert bench.state.entries == {}
+    assert len(harness.sent) == sent_before
+    assert harness.state.figures.amount_expired == sum(accepted.values()) - 1_000 > 0
+    assert harness.state.entries == {}
     for number in range(1_000):
-        bench.add(f"c{number}.2", 1.0)  # all return at once
+        harness.add(f"c{number}.2", 1.0)  # all customers are active again at once
     for _ in range(200):
-        bench.run(0.01)
+        harness.run(0.01)
         for number in range(1_000):
-            if f"c{number}.2".encode() not in bench.state.entries:
-                bench.add(f"c{number}.2", 1.0)
-    assert 80 <= len(bench.sent) - sent_before <= 50 * 2 + 6
-    assert sum(f.amount for f in bench.sent[sent_before:]) == len(
-        [f for f in bench.sent[sent_before:] if f.amount]
+            if f"c{number}.2".encode() not in harness.state.entries:
+                harness.add(f"c{number}.2", 1.0)
+    assert 80 <= len(harness.sent) - sent_before <= 50 * 2 + 6
+    assert sum(f.amount for f in harness.sent[sent_before:]) == len(
+        [f for f in harness.sent[sent_before:] if f.amount]
     )
 
 
-def test_apart_for_less_than_a_names_life_amounts_go_up_on_return() -> None:
-    bench = StateHarness(lease=1.0, window=0.1, upstream_calls=1000.0)
+def test_amounts_are_forwarded_after_a_partition_shorter_than_the_lifetime() -> None:
+    harness = StateHarness(lease=1.0, window=0.1, upstream_calls=1000.0)
     for number in range(20):
-        bench.add_known_name(f"c{number}.1", 1.0)
+        harness.add_known_name(f"c{number}.1", 1.0)
     for number in range(20):
-        assert bench.add(f"c{number}.1", 2.0) == Total(3.0)
-    bench.now += 30.0
-    assert bench.add("c0.1", 1.0) == Busy(BusyReason.CUT_OFF)
-    bench.run(1.0)
-    assert set(bench.counter.totals.values()) - {0.0} == {3.0}
-    assert bench.state.figures.amount_expired == 0.0
+        assert harness.add(f"c{number}.1", 2.0) == Total(3.0)
+    harness.now += 30.0
+    assert harness.add("c0.1", 1.0) == Busy(BusyReason.CUT_OFF)
+    harness.run(1.0)
+    assert set(harness.counter.totals.values()) - {0.0} == {3.0}
+    assert harness.state.figures.amount_expired == 0.0
 
 
-def test_all_gateways_return_at_once() -> None:
+def test_all_gateways_connect_at_once() -> None:
     async def test() -> None:
-        async with counting() as counter, serving(counter.address) as server:
+        async with faulty_counter() as counter, serving(counter.address) as server:
             await until_lease(server)
 
             async def gateway(number: int) -> float | str:
                 async with caller(server.port) as one:
                     return await one.add(f"customer-{number % 7}.1", 1.0)
 
-            told: list[float | str] = []
+            replies: list[float | str] = []
             for first in range(0, GATEWAYS, 275):
-                told += await asyncio.gather(*(gateway(n) for n in range(first, first + 275)))
-            assert all(isinstance(total, float) for total in told)
+                replies += await asyncio.gather(*(gateway(n) for n in range(first, first + 275)))
+            assert all(isinstance(total, float) for total in replies)
             for customer in range(7):
                 asked = len([n for n in range(GATEWAYS) if n % 7 == customer])
                 await until_counted(counter, f"customer-{customer}.1", asked)
@@ -349,14 +352,14 @@
     run(test)
 
 
-def test_one_customer_far_beyond_its_quota_on_all_gateways_costs_one_call_a_window() -> None:
+def test_customer_far_over_quota_on_all_gateways_needs_one_call_per_window() -> None:
     async def test() -> None:
         async with AsyncExitStack() as stack:
-            counter = await stack.enter_async_context(counting())
+            counter = await stack.enter_async_context(faulty_counter())
             server = await stack.enter_async_context(serving(counter.address, window=0.1))
             await until_lease(server)
             peers = [await stack.enter_async_context(caller(server.port)) for _ in range(110)]
-            began = server.loop.time()
+            started_at = server.loop.time()
             assert await peers[0].add("a.1", 2.5) == 2.5
             for _ in range(25):
                 for peer in peers:
@@ -364,19 +367,19 @@
                     peer.write_add("a.1", 2.5)
                 highest = await asyncio.gather(*(last_total(peer, 2) for peer in peers))
                 await asyncio.sleep(0.015)
-            all_told = (1 + 110 * 50) * 2.5
-            assert max(highest) == all_told  # the last sees all that was told
-            await until_counted(counter, "a.1", all_told)
-            windows = (server.loop.time() - began) / 0.1
+            expected_total = (1 + 110 * 50) * 2.5
+            assert max(highest) == expected_total  # the last total includes all amounts
+            await until_counted(counter, "a.1", expected_total)
+            windows = (server.loop.time() - started_at) / 0.1
             assert counter.calls_for("a.1") <= windows + 2
 
     run(test)
 
 
-async def last_total(peer: GatewayClient, many: int) -> float:
-    """The last of so many totals, of which each is above the one before it."""
+async def last_total(peer: GatewayClient, count: int) -> float:
+    """Reads `count` totals, each of which must exceed the one before, and returns the last."""
     last = 0.0
-    for _ in range(many):
+    for _ in range(count):
         total = read_value(await peer.read())
         assert isinstance(total, float) and total > last
         last = total
@@ -385,7 +388,7 @@
 
 def test_every_customer_with_one_request_is_counted_once() -> None:
     async def test() -> None:
-        async with counting() as counter:
+        async with faulty_counter() as counter:
             async with serving(counter.address, upstream_calls=1e6, names=CUSTOMERS) as server:
                 await until_lease(server)
                 async with caller(server.port) as one:
@@ -403,22 +406,22 @@
     run(test)
 
 
-def test_new_names_beyond_the_budget_are_turned_away_and_not_counted() -> None:
+def test_new_names_beyond_the_call_rate_are_rejected_and_not_counted() -> None:
     async def test() -> None:
-        async with counting() as counter:
+        async with faulty_counter() as counter:
             async with serving(counter.address, upstream_calls=500.0, wait=0.05) as server:
                 await until_lease(server)
                 async with caller(server.port) as one:
-                    began = server.loop.time()
+                    started_at = server.loop.time()
                     added = 0
                     for first in range(0, CUSTOMERS // 10, 100):
                         for number in range(first, first + 100):
                             one.write_add(f"c{number}.1", 1.0)
                         for _ in range(100):
-                            told = read_value(await one.read())
-                            assert told in (1.0, "BUSY")
-                            added += told == 1.0
-                    seconds = server.loop.time() - began
+                            reply = read_value(await one.read())
+                            assert reply in (1.0, "BUSY")
+                            added += reply == 1.0
+                    seconds = server.loop.time() - started_at
                 counted = sum(counter.sums.values())
                 assert 0 < added == counted < CUSTOMERS / 10
                 assert len(counter.calls) <= 500.0 * (seconds + 0.1) + 5
@@ -426,17 +429,18 @@
     run(test)
 
 
-def test_a_table_that_overflows_keeps_what_it_holds() -> None:
+def test_full_table_keeps_unforwarded_amounts() -> None:
     async def test() -> None:
-        async with counting() as counter, serving(counter.address, names=50, window=SOON) as server:
+        async with faulty_counter() as counter, serving(counter.address, names=50, window=SOON) as server:
             await until_lease(server)
             async with caller(server.port) as one:
                 for number in range(50):
                     assert await one.add(f"c{number}.1", 1.0) == 1.0
                 for number in range(40):
-                    assert await one.add(f"c{number}.1", 1.0) == 2.0  # not forwarded within this window
+                    assert await one.add(f"c{number}.1", 1.0) == 2.0  # not forwarded within its window
                 for number in range(50, 60):
-                    assert await one.add(f"c{number}.1", 1.0) == 1.0  # the ten without amounts go
+                    # The ten names without unforwarded amounts are evicted.
+                    assert await one.add(f"c{number}.1", 1.0) == 1.0
                 for number in range(50, 60):
                     assert await one.add(f"c{number}.1", 1.0) == 2.0
                 assert await one.add("c99.1", 1.0) == "BUSY"
--- a/tests/test_aggregator_orders.py
+++ b/tests/test_aggregator_orders.py
@@ -1,7 +1,7 @@
-"""Any order of calls, losses, repeats, late answers, restarts and partitions, over two levels of aggregators.
+"""Random orders of calls, losses, duplicates, late replies, restarts and partitions, over two levels.
 
-Each call's amount is a power of five with a sign, another for each call of a name. The balanced base-five
-digits of any sum then tell which calls are in it, and show a call that is in it twice.
+The amount of each call is a signed power of five, different for each call of a name. The balanced base-five
+digits of a sum thus show which calls it includes, and whether it includes one twice.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from tests.aggregators import CounterModel
 
 BASE = 5
-MOST_CALLS = 12  # of a name: the sum of their amounts stays below the protocol's bound
-LASTING = ("a.1", "b.1", "c.1")  # names that outlive the run
+MOST_CALLS = 12  # per name: the sum of their amounts stays below the protocol's limit
+LASTING = ("a.1", "b.1", "c.1")  # names whose lifetime exceeds the run
 SHORT = "s.4"
 SHORT_LIFE = 0.5  # seconds
 STEP = 0.01  # seconds
@@ -27,9 +27,9 @@
 LIMITS = Limits(
     names=4, waiting=6, window=0.1, upstream_calls=1000.0, lease=1.0, wait=0.2, stale=0.5, in_flight=8
 )
-OLDEST = PATIENCE + MAX_BACKOFF + 2 * LIMITS.window + 3 * STEP  # of an amount, if upstream answers
-LOSS_SPAN = OLDEST + LIMITS.lease  # a loss is of calls that were told within this
-LONGEST_RUN = 50.0  # seconds: lasting names live for 60
+OLDEST = PATIENCE + MAX_BACKOFF + 2 * LIMITS.window + 3 * STEP  # age of an amount while upstream answers
+LOSS_SPAN = OLDEST + LIMITS.lease  # seconds within which the calls of one loss were received
+LONGEST_RUN = 50.0  # seconds; LASTING names have a lifetime of 60
 CALLS = st.lists(
     st.tuples(
         st.integers(0, 4),  # the gateway
@@ -42,7 +42,7 @@
 
 
 def digits(total: float) -> dict[int, int]:
-    """The balanced base-five digits of a sum that are not nought."""
+    """Returns the balanced base-five digits of a sum that are not 0, by position."""
     rest, place, found = round(total), 0, {}
     assert rest == total
     while rest:
@@ -55,18 +55,18 @@
 
 @dataclass
 class Issued:
-    """The calls of one name: each one's sign, and those that were turned away or told as added."""
+    """The calls of one name: their signs, and which were rejected, reported as added, or possibly lost."""
 
     signs: list[int] = field(default_factory=list)
     busy: set[int] = field(default_factory=set)
     added: set[int] = field(default_factory=set)
-    lost: set[int] = field(default_factory=set)  # that a counted event may have lost
+    lost: set[int] = field(default_factory=set)  # possibly lost by an event that loses calls
 
     def amount(self, calls: set[int]) -> int:
         return sum(self.signs[call] * BASE**call for call in calls)
 
     def read(self, total: float) -> set[int]:
-        """The calls in a sum. None is in it twice, and none that was turned away."""
+        """Returns the calls in a sum; checks that none is in it twice and none was rejected."""
         found = digits(total)
         for place, digit in found.items():
             assert place < len(self.signs) and digit == self.signs[place], (total, found)
@@ -77,7 +77,7 @@
 
 @dataclass(eq=False)
 class Call:
-    """A call on its way from a node to the one above it."""
+    """A call from a node to its upstream."""
 
     forward: Forward
     sender: Node
@@ -85,12 +85,12 @@
     sent_at: float
     delivered: bool = False
     result: ForwardResult | None = None
-    ended: bool = False  # its sender knows, or is gone
-    orphaned: bool = False  # its sender was killed: no answer finds it
+    ended: bool = False  # its sender has the result or was killed
+    orphaned: bool = False  # its sender was killed, so no reply is delivered
 
 
 class Node:
-    """An aggregator, and the test's own account of what it holds."""
+    """An aggregator, with the test's own record of the calls it holds."""
 
     def __init__(self, level: int, now: float, seed: int) -> None:
         self.level = level
@@ -99,8 +99,8 @@
 
     def start(self, now: float, seed: int) -> None:
         self.state = Aggregation(LIMITS, now, seed)
-        self.proved_at = float("-inf")  # when the last call was sent that upstream answered with a total
-        self.held: dict[str, dict[int, float]] = {}  # not forwarded: calls, and when they were taken
+        self.proved_at = float("-inf")  # send time of the latest call answered with a total
+        self.held: dict[str, dict[int, float]] = {}  # not forwarded: calls and when they were received
         self.in_flight: dict[str, dict[int, float]] = {}
         self.doubtful: dict[str, set[int]] = {}
         self.waiting: dict[int, tuple[str, set[int], Call | None]] = {}
--- a/tests/test_aggregator_server.py
+++ b/tests/test_aggregator_server.py
@@ -1,4 +1,4 @@
-"""The aggregator's sockets: RESP2, order, bounds, and the way upstream."""
+"""The aggregator's server, upstream client, registration and program."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.peers import SOON, CounterPeer
 
 
-async def started(port: int = 0) -> CounterPeer:
+async def start_counter(port: int = 0) -> CounterPeer:
     counter = CounterPeer()
     await counter.start(port)
     return counter
@@ -52,7 +52,7 @@
         parse_add([b"CNT.ADD", *words])
 
 
-def test_calls_at_the_edges_of_their_form_are_read() -> None:
+def test_calls_at_the_limits_are_parsed() -> None:
     call = parse_add([b"CNT.ADD", b"a" * 64, b"-1e9", b"99999"])
     assert (call.amount, call.life) == (-1e9, 60.0)
     assert parse_add([b"CNT.ADD", b"\xff\x00", b"+.5"[1:].rjust(4, b"0"), b"1"]).amount == 0.5
@@ -78,7 +78,7 @@
 
 def test_calls_are_summed_and_forwarded() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         async with serving(counter.address) as server, caller(server.port) as one, caller(server.port) as two:
             await until_lease(server)
             assert await one.add("a.1", 2.0) == 2.0
@@ -93,9 +93,9 @@
     run(test)
 
 
-def test_answers_keep_their_order_while_one_waits() -> None:
+def test_replies_keep_their_order_while_one_is_deferred() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         async with serving(counter.address) as server, caller(server.port) as one:
             await until_lease(server)
             await one.add("known.1", 5.0)
@@ -114,7 +114,7 @@
     run(test)
 
 
-def test_what_costs_nothing_is_answered_without_a_lease() -> None:
+def test_ping_client_and_select_are_answered_without_a_lease() -> None:
     async def test() -> None:
         async with serving(f"{HOST}:{free_port()}") as server, caller(server.port) as one:
             one.write("PING")
@@ -143,7 +143,7 @@
     run(test)
 
 
-def test_a_call_without_end_is_closed() -> None:
+def test_connection_with_an_endless_call_is_closed() -> None:
     async def test() -> None:
         async with serving(f"{HOST}:{free_port()}") as server, caller(server.port) as one:
             one.writer.write(b"*1\r\n$900000000\r\n" + b"x" * (MAX_CALL_BYTES + 100))
@@ -207,19 +207,19 @@
 
 def test_a_connection_with_many_unanswered_calls_is_not_read() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         async with serving(counter.address, lease=SOON) as server, caller(server.port) as one:
             await until_lease(server)
             counter.free.clear()
-            many = 40 * MAX_UNANSWERED
-            for number in range(many):
+            count = 40 * MAX_UNANSWERED
+            for number in range(count):
                 one.write_add(f"c{number % 100}.1", 1.0)
             await asyncio.sleep(0.3)
             connection = next(iter(server.connections))
             held = len(connection.replies)
-            assert MAX_UNANSWERED < held < many / 2
+            assert MAX_UNANSWERED < held < count / 2
             counter.free.set()
-            for _ in range(many):
+            for _ in range(count):
                 assert isinstance(read_value(await one.read()), float)
         await counter.stop()
 
@@ -228,7 +228,7 @@
 
 def test_a_waiting_call_whose_upstream_connection_breaks_is_answered_without_a_number() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         async with serving(counter.address) as server, caller(server.port) as one:
             await until_lease(server)
             counter.free.clear()
@@ -251,17 +251,18 @@
 
 
 class Results:
-    """What an upstream client told."""
+    """Collects the results that an upstream client reports."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[int, ForwardStatus, float]] = []
+        self.received: list[tuple[int, ForwardStatus, float]] = []
 
     def __call__(self, ended: Forward, result: ForwardResult) -> None:
-        self.told.append((ended.number, result.status, result.total))
+        self.received.append((ended.number, result.status, result.total))
 
-    async def until(self, many: int) -> None:
+    async def until(self, count: int) -> None:
+        """Waits for `count` results."""
         async with asyncio.timeout(SOON):
-            while len(self.told) < many:
+            while len(self.received) < count:
                 await asyncio.sleep(0.005)
 
 
@@ -271,12 +272,12 @@
 
 def test_upstream_calls_are_pipelined_and_matched_in_order() -> None:
     async def test() -> None:
-        counter, results = await started(), Results()
+        counter, results = await start_counter(), Results()
         client = upstream(counter.address, results)
         for number in range(100):
             client.send(forward(number))
         await results.until(100)
-        assert results.told == [(n, ForwardStatus.ADDED, n + 1.0) for n in range(100)]
+        assert results.received == [(n, ForwardStatus.ADDED, n + 1.0) for n in range(100)]
         assert counter.connections == 1
         client.close()
         await counter.stop()
@@ -290,32 +291,32 @@
         client = upstream(f"{HOST}:{free_port()}", results)
         client.send(forward(1))
         await results.until(1)
-        assert results.told == [(1, ForwardStatus.NO_CONNECTION, 0.0)]
+        assert results.received == [(1, ForwardStatus.NO_CONNECTION, 0.0)]
         client.close()
 
     run(test)
 
 
-def test_upstream_that_stays_silent_may_have_added() -> None:
+def test_calls_to_a_silent_upstream_have_an_unknown_result() -> None:
     async def test() -> None:
-        counter, results = await started(), Results()
+        counter, results = await start_counter(), Results()
         counter.free.clear()
         client = upstream(counter.address, results, patience=0.1)
         client.send(forward(1))
         client.send(forward(2))
         await results.until(2)
-        assert [told[:2] for told in results.told] == [(n, ForwardStatus.UNKNOWN) for n in (1, 2)]
+        assert [result[:2] for result in results.received] == [(n, ForwardStatus.UNKNOWN) for n in (1, 2)]
         counter.free.set()
         client.send(forward(3))
         await results.until(3)
-        assert results.told[2] == (3, ForwardStatus.ADDED, 3.0)
+        assert results.received[2] == (3, ForwardStatus.ADDED, 3.0)
         client.close()
         await counter.stop()
 
     run(test)
 
 
-def test_each_answer_gives_the_next_call_its_whole_patience() -> None:
+def test_call_timeout_restarts_with_each_answer() -> None:
     class SlowCounter(CounterPeer):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -330,7 +331,7 @@
         for number in range(4):
             client.send(forward(number))
         await results.until(4)
-        assert [told[1] for told in results.told] == [ForwardStatus.ADDED] * 4
+        assert [result[1] for result in results.received] == [ForwardStatus.ADDED] * 4
         client.close()
         await counter.stop()
 
@@ -339,7 +340,7 @@
 
 def test_a_second_answer_to_a_call_ends_the_connection() -> None:
     async def test() -> None:
-        counter, results = await started(), Results()
+        counter, results = await start_counter(), Results()
         counter.say = [b"$1\r\n5\r\n$2\r\n50\r\n"]
         client = upstream(counter.address, results)
         client.send(forward(1))
@@ -347,7 +348,7 @@
         await asyncio.sleep(0.05)
         client.send(forward(2))
         await results.until(2)
-        assert results.told == [(1, ForwardStatus.ADDED, 5.0), (2, ForwardStatus.ADDED, 2.0)]
+        assert results.received == [(1, ForwardStatus.ADDED, 5.0), (2, ForwardStatus.ADDED, 2.0)]
         assert counter.connections == 2
         client.close()
         await counter.stop()
@@ -355,17 +356,17 @@
     run(test)
 
 
-@pytest.mark.parametrize("said", [b"$-1\r\n", b"+OK\r\n", b"-LOADING\r\n", b"what\r\n"])
-def test_an_answer_without_a_number_may_have_added_and_ends_the_connection(said: bytes) -> None:
+@pytest.mark.parametrize("reply", [b"$-1\r\n", b"+OK\r\n", b"-LOADING\r\n", b"what\r\n"])
+def test_an_answer_without_a_number_may_have_added_and_ends_the_connection(reply: bytes) -> None:
     async def test() -> None:
-        counter, results = await started(), Results()
-        counter.say = [said]
+        counter, results = await start_counter(), Results()
+        counter.say = [reply]
         client = upstream(counter.address, results)
         client.send(forward(1))
         await results.until(1)
         client.send(forward(2))
         await results.until(2)
-        assert [told[1] for told in results.told] == [ForwardStatus.UNKNOWN, ForwardStatus.ADDED]
+        assert [result[1] for result in results.received] == [ForwardStatus.UNKNOWN, ForwardStatus.ADDED]
         assert counter.connections == 2
         client.close()
         await counter.stop()
@@ -375,13 +376,13 @@
 
 def test_busy_and_err_have_added_nothing_and_keep_the_connection() -> None:
     async def test() -> None:
-        counter, results = await started(), Results()
+        counter, results = await start_counter(), Results()
         counter.say = [b"-BUSY\r\n", b"-ERR no\r\n"]
         client = upstream(counter.address, results)
         for number in range(3):
             client.send(forward(number))
         await results.until(3)
-        statuses = [told[1] for told in results.told]
+        statuses = [result[1] for result in results.received]
         assert statuses == [ForwardStatus.BUSY, ForwardStatus.ERROR, ForwardStatus.ADDED]
         assert counter.connections == 1
         client.close()
@@ -390,9 +391,9 @@
     run(test)
 
 
-def test_the_program_forwards_what_it_holds_on_sigterm() -> None:
+def test_program_forwards_remaining_amounts_on_sigterm() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         program = AggregatorProcess(
             "--listen", f"{HOST}:0", "--upstream", counter.address, "--window-ms", "5000", "--wait-ms", "5000"
         )
@@ -410,9 +411,9 @@
     run(test)
 
 
-def test_the_program_ends_in_time_where_upstream_is_silent() -> None:
+def test_program_ends_in_time_if_upstream_is_silent() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         program = AggregatorProcess(
             "--listen", f"{HOST}:0", "--upstream", counter.address, "--wait-ms", "5000", "--drain-ms", "300"
         )
@@ -430,9 +431,9 @@
     run(test)
 
 
-def test_it_registers_and_goes_from_the_list(tmp_path: pathlib.Path) -> None:
+def test_aggregator_registers_and_is_removed_from_the_list(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         async with served(tmp_path) as (_, directory):
             program = AggregatorProcess(
                 "--listen", f"{HOST}:0", "--upstream", counter.address, "--directory", directory.address,
@@ -448,7 +449,8 @@
             await directory.until(lambda status: status["draining"] == 1)
             async with caller(program.port) as one:
                 await until_ready(one)
-                assert isinstance(await one.add("a.1", 1.0), float)  # calls are taken until gateways know
+                # Calls are accepted until gateways know of the drain.
+                assert isinstance(await one.add("a.1", 1.0), float)
             await ending
             assert (await directory.list())["instances"] == []
         await counter.stop()
@@ -456,7 +458,7 @@
     run(test)
 
 
-def test_it_registers_again_once_the_list_lost_it(
+def test_aggregator_registers_again_after_its_removal_from_the_list(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     from embersill.aggregator import membership
@@ -467,19 +469,19 @@
     async def test() -> None:
         async with served(tmp_path) as (_, directory):
             options = membership.MembershipOptions(directory.address, "agg-1", f"{HOST}:7")
-            made = membership.Membership(options)
-            await made.start()
+            first = membership.Membership(options)
+            await first.start()
             await directory.until(lambda status: status["instances"] == 1)
             _, shown, _ = await directory.call("GET", "/v1/instances/agg-1")
             await directory.call("DELETE", "/v1/instances/agg-1", match=shown["version"])
             await directory.until(lambda status: status["instances"] == 1)
-            other = membership.Membership(options)  # a later process takes the id over
+            other = membership.Membership(options)  # a later process that registers under the same id
             await other.start()
-            assert made.task is not None
+            assert first.task is not None
             async with asyncio.timeout(SOON):
-                await made.task
+                await first.task
             await other.stop()
-            await made.stop()
+            await first.stop()
 
     run(test)
 
@@ -496,15 +498,17 @@
         ["--listen", f"{HOST}:0", "--upstream", f"{HOST}:1", "--directory", f"{HOST}:1", "--id", "a"],
     ],
 )
-def test_bad_use_ends_with_2_and_one_line(options: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+def test_usage_error_exits_with_2_and_one_line(
+    options: list[str], capsys: pytest.CaptureFixture[str]
+) -> None:
     from embersill.aggregator.__main__ import main
 
     with pytest.MonkeyPatch.context() as patch, pytest.raises(SystemExit) as ended:
         patch.setattr(sys, "argv", ["aggregator", *options])
         main()
     assert ended.value.code == 2
-    told = capsys.readouterr().err
-    assert told.startswith("embersill.aggregator: ") and told.count("\n") == 1
+    output = capsys.readouterr().err
+    assert output.startswith("embersill.aggregator: ") and output.count("\n") == 1
 
 
 def test_the_gateway_never_imports_the_aggregator() -> None:
@@ -515,9 +519,9 @@
     assert subprocess.run([sys.executable, "-c", check], cwd=ROOT).returncode == 0
 
 
-def test_a_port_that_is_taken_ends_with_1_and_one_line() -> None:
+def test_port_in_use_exits_with_1_and_one_line() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "embersill.aggregator", "--listen", counter.address, "--upstream",
             counter.address, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
@@ -533,15 +537,15 @@
 
 def test_statistics_are_a_json_object() -> None:
     async def test() -> None:
-        counter = await started()
+        counter = await start_counter()
         async with serving(counter.address, window=SOON) as server, caller(server.port) as one:
             await until_lease(server)
             await one.add("a.1", 1.0)
             await one.add("a.1", 2.5)
-            told = await one.statistics()
-            json.dumps(told)
-            assert (told["calls"], told["names"], told["unforwarded"]) == (2, 1, 2.5)
-            assert told["forwards"] == 1 and told["has_lease"] and told["connections"] == 1
+            statistics = await one.statistics()
+            json.dumps(statistics)
+            assert (statistics["calls"], statistics["names"], statistics["unforwarded"]) == (2, 1, 2.5)
+            assert statistics["forwards"] == 1 and statistics["has_lease"] and statistics["connections"] == 1
         await counter.stop()
 
     run(test)
