--- a/embersill/aggregator/server.py
+++ b/embersill/aggregator/server.py
@@ -74,7 +74,7 @@
         self.reading_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport doesn't subclass it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's doesn't subclass it
         if len(self.server.connections) >= self.server.options.max_connections:
             self.server.figures.connections_refused += 1
             self.transport.abort()
--- a/embersill/aggregator/upstream.py
+++ b/embersill/aggregator/upstream.py
@@ -90,7 +90,7 @@
         return not (idle and self.loop.time() - self.last_used_at >= MAX_IDLE_TIME)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport doesn't subclass it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's doesn't subclass it
         if self.closed:
             self.transport.abort()
             return
--- a/tests/aggregators.py
+++ b/tests/aggregators.py
@@ -166,14 +166,18 @@
 
 @asynccontextmanager
 async def serving(
-    upstream: str, options: dict[str, Any] | None = None, patience: float = 1.0, port: int = 0, **limits: Any
+    upstream: str,
+    options: dict[str, Any] | None = None,
+    call_timeout: float = 1.0,
+    port: int = 0,
+    **limits: Any,
 ) -> AsyncIterator[Server]:
-    """Runs an aggregator in this event loop."""
+    """Runs an aggregator in this event loop; `options` are of ServerOptions, `limits` of Limits."""
     host, _, upstream_port = upstream.rpartition(":")
     server = Server(
         ServerOptions(HOST, port, **(options or {})),
         Limits(**{"wait": SOON, "lease": SOON, **limits}),
-        UpstreamOptions(host, int(upstream_port), patience),
+        UpstreamOptions(host, int(upstream_port), call_timeout),
         seed=1,
     )
     await server.start()
--- a/tests/test_aggregator_failures.py
+++ b/tests/test_aggregator_failures.py
@@ -110,7 +110,7 @@
 def test_partitioned_aggregator_rejects_calls_and_later_forwards_accepted_amounts() -> None:
     async def test() -> None:
         async with faulty_counter() as counter:
-            async with serving(counter.address, lease=1.0, window=0.05, patience=0.3) as server:
+            async with serving(counter.address, lease=1.0, window=0.05, call_timeout=0.3) as server:
                 async with caller(server.port) as one:
                     await until_lease(server)
                     assert await one.add("a.1", 5.0) == 5.0
@@ -169,7 +169,7 @@
 def test_late_or_lost_totals_add_nothing_twice() -> None:
     async def test() -> None:
         async with faulty_counter() as counter:
-            async with serving(counter.address, window=0.02, patience=0.1) as server:
+            async with serving(counter.address, window=0.02, call_timeout=0.1) as server:
                 async with caller(server.port) as one:
                     await until_lease(server)
                     assert await one.add("a.1", 1.0) == 1.0
@@ -261,7 +261,7 @@
     async def test() -> None:
         async with AsyncExitStack() as stack:
             counter = await stack.enter_async_context(faulty_counter())
-            top = await stack.enter_async_context(serving(counter.address, lease=0.5, patience=0.2))
+            top = await stack.enter_async_context(serving(counter.address, lease=0.5, call_timeout=0.2))
             await until_lease(top)
             below = await stack.enter_async_context(serving(f"{HOST}:{top.port}", lease=0.5))
             await until_lease(below)
--- a/tests/test_aggregator_server.py
+++ b/tests/test_aggregator_server.py
@@ -266,8 +266,8 @@
                 await asyncio.sleep(0.005)
 
 
-def upstream(address: str, results: Results, patience: float = SOON) -> Upstream:
-    return Upstream(UpstreamOptions(HOST, int(address.rpartition(":")[2]), patience), results)
+def upstream(address: str, results: Results, call_timeout: float = SOON) -> Upstream:
+    return Upstream(UpstreamOptions(HOST, int(address.rpartition(":")[2]), call_timeout), results)
 
 
 def test_upstream_calls_are_pipelined_and_matched_in_order() -> None:
@@ -301,7 +301,7 @@
     async def test() -> None:
         counter, results = await start_counter(), Results()
         counter.free.clear()
-        client = upstream(counter.address, results, patience=0.1)
+        client = upstream(counter.address, results, call_timeout=0.1)
         client.send(forward(1))
         client.send(forward(2))
         await results.until(2)
@@ -327,7 +327,7 @@
     async def test() -> None:
         counter, results = SlowCounter(), Results()
         await counter.start()
-        client = upstream(counter.address, results, patience=0.5)
+        client = upstream(counter.address, results, call_timeout=0.5)
         for number in range(4):
             client.send(forward(number))
         await results.until(4)
