--- a/embersill/net/discovery.py
+++ b/embersill/net/discovery.py
@@ -310,7 +310,7 @@
         silent, overloaded = isinstance(error, TimeoutError), isinstance(error, Overloaded)
         if not self.failing:  # only the first is logged: an outage may be long
             reason = "no answer in time" if silent else f"{type(error).__name__} {error}"
-            log.info("discovery is failing, the list stays as it is: %s", reason)
+            log.info("discovery fails, the list stays as it was: %s", reason)
         self.failing = True
         self.disconnect()
         self.figures["list silent" if silent else "list no room" if overloaded else "list failed"] += 1
