--- a/tests/test_framing_requests.py
+++ b/tests/test_framing_requests.py
@@ -368,8 +368,8 @@
         assert (await client.ask(plain))[0] == 200
         assert (await client.ask(b"\r\n".join([first, *spelled]) + b"\r\n\r\n" + BODY))[0] == 200
         ones, others = calls
-        names = ("request_class", "plan", "customer", "units", "gateway_count", "first_gateway", "repeat", "head",
-                 "body")
+        names = ("request_class", "plan", "customer", "units", "gateway_count", "first_gateway", "repeat",
+                 "head", "body")
         assert [getattr(ones, name) for name in names] == [getattr(others, name) for name in names]
         assert ones.repeat
         one, other = bed.seen()
