--- a/embersill/lab/__init__.py
+++ b/embersill/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory: whole deployments in virtual time. The gateway never loads it."""
+"""A laboratory that plays whole deployments in virtual time; the gateway does not import it."""
--- a/embersill/lab/clock.py
+++ b/embersill/lab/clock.py
@@ -1,4 +1,4 @@
-"""Time: virtual, as one queue of events, in the order of their times, then of their setting."""
+"""Virtual time: a queue of scheduled calls, ordered by time and then by the order of scheduling."""
 
 from __future__ import annotations
 
@@ -7,56 +7,56 @@
 from itertools import count
 from typing import Protocol
 
-BEGIN = 1_000_000.0  # a run's time at its start: some hour of a Unix day
+START_TIME = 1_000_000.0  # a run's time at its start, in seconds of Unix time
 
 
-class Event:
-    """Something that is to happen; it may be cancelled until then."""
+class ScheduledCall:
+    """A call that is due at some time and may be cancelled until then."""
 
-    __slots__ = ("what",)
+    __slots__ = ("callback",)
 
-    def __init__(self, what: Callable[[], None]) -> None:
-        self.what: Callable[[], None] | None = what
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Makes it happen never; also after it has happened, where that changes nothing."""
-        self.what = None
+        """Prevents the call; has no effect after it."""
+        self.callback = None
 
-    def happen(self) -> None:
-        what, self.what = self.what, None
-        if what is not None:
-            what()
+    def run(self) -> None:
+        callback, self.callback = self.callback, None
+        if callback is not None:
+            callback()
 
 
-class Time(Protocol):
-    """What the parts of a deployment need of a clock, virtual or real."""
+class Scheduler(Protocol):
+    """A clock that runs calls later, in virtual or real time."""
 
     @property
     def now(self) -> float: ...
 
-    def later(self, delay: float, what: Callable[[], None]) -> Event: ...
+    def later(self, delay: float, callback: Callable[[], None]) -> ScheduledCall: ...
 
 
-class Clock:
-    """Seconds since `start`, which stand still while an event happens."""
+class VirtualClock:
+    """Virtual time in seconds, from `start`; it stands still during a call."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
-        self.queue: list[tuple[float, int, Event]] = []
-        self.numbers = count()
+        self.queue: list[tuple[float, int, ScheduledCall]] = []
+        self.sequence = count()
 
-    def later(self, delay: float, what: Callable[[], None]) -> Event:
-        """Sets an event `delay` seconds from now; ValueError for a time that has passed."""
+    def later(self, delay: float, callback: Callable[[], None]) -> ScheduledCall:
+        """Schedules a call `delay` seconds from now. Raises ValueError for a negative delay or nan."""
         if not delay >= 0.0:
-            raise ValueError(f"an event {delay} s from now")
-        event = Event(what)
-        heapq.heappush(self.queue, (self.now + delay, next(self.numbers), event))
-        return event
+            raise ValueError(f"cannot schedule a call {delay} s from now")
+        call = ScheduledCall(callback)
+        heapq.heappush(self.queue, (self.now + delay, next(self.sequence), call))
+        return call
 
     def run(self, until: float) -> None:
-        """Lets happen all that is due by then, what that sets included."""
+        """Runs all calls that are due by then, including those scheduled meanwhile."""
         queue, pop = self.queue, heapq.heappop
         while queue and queue[0][0] <= until:
-            self.now, _, event = pop(queue)
-            event.happen()
+            self.now, _, call = pop(queue)
+            call.run()
         self.now = max(self.now, until)
--- a/embersill/lab/counter.py
+++ b/embersill/lab/counter.py
@@ -1,4 +1,4 @@
-"""The counter service in the model: names on parts, a part serves one call after the other."""
+"""A simulated counter service: names are distributed over parts, each of which serves calls in turn."""
 
 from __future__ import annotations
 
@@ -7,65 +7,74 @@
 from collections.abc import Callable
 
 from embersill.interface import CounterCallEnded, Outcome
-from embersill.lab.clock import Time
-from embersill.lab.scenario import Counter as CounterForm
+from embersill.lab.clock import Scheduler
+from embersill.lab.scenario import CounterConfig
 
-LONGEST_LIFE = 60.0  # seconds that a name is kept at the most: the protocol's
+MAX_LIFETIME = 60.0  # seconds that the protocol allows a name to live
 
 
 class CounterService:
-    def __init__(self, clock: Time, form: CounterForm, zone: str = "") -> None:
-        self.clock, self.form, self.zone = clock, form, zone
-        self.free_at = [0.0] * form.parts
-        self.totals: dict[str, tuple[float, float]] = {}  # a name's total, and when it is forgotten
+    """The totals of all names, and the delays, rejections and timeouts of calls."""
+
+    def __init__(self, clock: Scheduler, config: CounterConfig, zone: str = "") -> None:
+        self.clock, self.config, self.zone = clock, config, zone
+        self.free_at = [0.0] * config.parts
+        self.totals: dict[str, tuple[float, float]] = {}  # by name: its total and when it expires
         self.down = False
-        self.slowed = 1.0  # times as long that a call takes
-        self.ends: Tally[str] = Tally()
+        self.slowdown = 1.0  # factor of the time that a call takes
+        self.outcomes: Tally[str] = Tally()
+
+    def add(
+        self, name: str, amount: float, lifetime: float, on_result: Callable[[CounterCallEnded], None]
+    ) -> None:
+        """A call that adds to a name's total, also if its answer comes after the timeout.
 
-    def add(self, name: str, amount: float, life: float, told: Callable[[CounterCallEnded], None]) -> None:
-        """One call. It adds also where the answer comes too late; silence where the service is down."""
-        form, began = self.form, self.clock.now
-        part = zlib.crc32(name.encode()) % form.parts
-        arrives = began + form.delay / 2
-        begins = max(arrives, self.free_at[part])
+        `on_result` is called with the result; with TIMED_OUT where the service is down.
+        """
+        config, called_at = self.config, self.clock.now
+        part = zlib.crc32(name.encode()) % config.parts
+        arrives_at = called_at + config.delay / 2
+        starts_at = max(arrives_at, self.free_at[part])
 
-        def tell(outcome: Outcome, total: float) -> None:
-            self.ends[outcome.value] += 1
-            told(CounterCallEnded(name, outcome, self.clock.now - began, total))
+        def end_call(outcome: Outcome, total: float) -> None:
+            self.outcomes[outcome.value] += 1
+            on_result(CounterCallEnded(name, outcome, self.clock.now - called_at, total))
 
         if self.down:
-            self.stay_silent(name, told)
-        elif (begins - arrives) * form.per_s > form.line * self.slowed:
-            self.clock.later(form.delay, lambda: tell(Outcome.REJECTED, 0.0))
+            self.time_out_call(name, on_result)
+        elif (starts_at - arrives_at) * config.per_s > config.line * self.slowdown:
+            self.clock.later(config.delay, lambda: end_call(Outcome.REJECTED, 0.0))
         else:
-            self.free_at[part] = done = begins + self.slowed / form.per_s
-            back = done + form.delay / 2
-            self.clock.later(done - began, lambda: self.serve(name, amount, life, back, began, tell))
+            self.free_at[part] = served_at = starts_at + self.slowdown / config.per_s
+            answered_at = served_at + config.delay / 2
+            self.clock.later(served_at - called_at, lambda: self.apply_call(
+                name, amount, lifetime, answered_at, called_at, end_call))
 
-    def stay_silent(self, name: str, told: Callable[[CounterCallEnded], None]) -> None:
-        """A call that nobody hears: its caller gives it up."""
-        self.ends[Outcome.TIMED_OUT.value] += 1
-        patience = self.form.patience
-        self.clock.later(patience, lambda: told(CounterCallEnded(name, Outcome.TIMED_OUT, patience, 0.0)))
+    def time_out_call(self, name: str, on_result: Callable[[CounterCallEnded], None]) -> None:
+        """A call that does not reach the service and times out at its caller."""
+        self.outcomes[Outcome.TIMED_OUT.value] += 1
+        timeout = self.config.patience
+        self.clock.later(timeout, lambda: on_result(CounterCallEnded(name, Outcome.TIMED_OUT, timeout, 0.0)))
 
-    def serve(self, name: str, amount: float, life: float, back: float, began: float,
-              tell: Callable[[Outcome, float], None]) -> None:
+    def apply_call(self, name: str, amount: float, lifetime: float, answered_at: float, called_at: float,
+                   end_call: Callable[[Outcome, float], None]) -> None:
+        """Adds the amount and schedules the call's end, by its answer or its timeout."""
         now = self.clock.now
-        total, forgotten = self.totals.get(name, (0.0, 0.0))
-        if forgotten <= now:
-            total, forgotten = 0.0, now + min(life, LONGEST_LIFE)
+        total, expires_at = self.totals.get(name, (0.0, 0.0))
+        if expires_at <= now:
+            total, expires_at = 0.0, now + min(lifetime, MAX_LIFETIME)
         total += amount
-        self.totals[name] = (total, forgotten)
-        patience = began + self.form.patience
-        if back > patience:
-            self.clock.later(max(patience - now, 0.0), lambda: tell(Outcome.TIMED_OUT, 0.0))
+        self.totals[name] = (total, expires_at)
+        timeout_at = called_at + self.config.patience
+        if answered_at > timeout_at:
+            self.clock.later(max(timeout_at - now, 0.0), lambda: end_call(Outcome.TIMED_OUT, 0.0))
         else:
-            self.clock.later(back - now, lambda: tell(Outcome.SERVED, total))
+            self.clock.later(answered_at - now, lambda: end_call(Outcome.SERVED, total))
 
-    def lose_all(self) -> None:
+    def clear(self) -> None:
         self.totals.clear()
 
-    def forget(self) -> None:
-        """Drops names that are over, so that a long day stays small."""
+    def drop_expired(self) -> None:
+        """Drops expired names, to bound the memory of long runs."""
         now = self.clock.now
-        self.totals = {n: kept for n, kept in self.totals.items() if kept[1] > now}
+        self.totals = {n: entry for n, entry in self.totals.items() if entry[1] > now}
--- a/embersill/lab/experiments.py
+++ b/embersill/lab/experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: which plays they take, and what they tell together."""
+"""Experiments: the plays that each needs and the tables computed from their reports."""
 
 from __future__ import annotations
 
@@ -12,112 +12,116 @@
 
 import numpy as np
 
-from embersill.lab.figures import FIGURES, difference, figures, interval, rank_correlation
+from embersill.lab.figures import FIGURES, difference, figures, mean_interval, rank_correlation
 from embersill.lab.plays import Play, Report
-from embersill.lab.scenario import BadScenario, change
+from embersill.lab.scenario import BadScenario, apply_setting
 
 Table = dict[str, Any]
-SHORT = ("net", "served", "overrun", "refused", "p99", "tries", "handshakes")  # of a sweep: what fits a line
+SWEEP_FIGURES = ("net", "served", "overrun", "refused", "p99", "tries", "handshakes")  # they fit on a line
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """What is played beside others: the decisions of a checkout ("": these here), and changed settings."""
+    """One side of a comparison: the decisions of a checkout ("": this one) and changed settings."""
 
     name: str
     version: str = ""
     settings: tuple[str, ...] = ()
 
-    def play(self, told: dict[str, Any], seed: int, real: pathlib.Path | None) -> Play:
-        """`real`: where the logs of real processes go, a folder for each play."""
+    def play(self, scenario: dict[str, Any], seed: int, real: pathlib.Path | None) -> Play:
+        """`real`: folder for the logs of real processes, with a subfolder for each play."""
         for setting in self.settings:
-            told = change(told, setting)
-        logs = "" if real is None else str(real / f"{told.get('name')}-{seed}-{uuid.uuid4().hex[:8]}")
-        return Play(self.name, told, seed, self.version, logs)
+            scenario = apply_setting(scenario, setting)
+        logs = "" if real is None else str(real / f"{scenario.get('name')}-{seed}-{uuid.uuid4().hex[:8]}")
+        return Play(self.name, scenario, seed, self.version, logs)
 
 
-def plan(
+def plan_plays(
     scenarios: Sequence[dict[str, Any]], variants: Sequence[Variant], seeds: Sequence[int],
     real: pathlib.Path | None = None,
 ) -> list[Play]:
-    """All of them, seed by seed, so that what is stopped early has pairs."""
-    return [v.play(told, seed, real) for seed in seeds for told in scenarios for v in variants]
+    """All plays, seed by seed, so that an experiment that is stopped early has complete pairs."""
+    return [v.play(scenario, seed, real) for seed in seeds for scenario in scenarios for v in variants]
 
 
-def combinations(overs: Sequence[str]) -> list[Variant]:
-    """Of `KEY=V1,V2,...`: a variant for each value of the first with each of the second, and so on."""
+def combinations(axis_settings: Sequence[str]) -> list[Variant]:
+    """A variant for each combination of the values in settings like `KEY=V1,V2,...`. Raises BadScenario."""
     axes = []
-    for over in overs:
-        key, equals, values = over.partition("=")
+    for setting in axis_settings:
+        key, equals, values = setting.partition("=")
         if not equals or not all(value.strip() for value in values.split(",")):
-            raise BadScenario(f"{over!r} is no KEY=VALUE,VALUE,...")
+            raise BadScenario(f"{setting!r} is no KEY=VALUE,VALUE,...")
         axes.append([f"{key.strip()}={value.strip()}" for value in values.split(",")])
     return [Variant(" ".join(settings), "", settings) for settings in itertools.product(*axes)]
 
 
 def by_variant(plays: Sequence[Play], reports: Sequence[Report]) -> dict[str, dict[str, dict[int, Report]]]:
-    """Reports that are not void: by scenario, variant and seed."""
-    found: dict[str, dict[str, dict[int, Report]]] = {}
+    """The reports that are not void, by scenario, variant and seed."""
+    grouped: dict[str, dict[str, dict[int, Report]]] = {}
     for play, report in zip(plays, reports, strict=True):
         if "void" not in report:
-            found.setdefault(report["scenario"], {}).setdefault(play.variant, {})[play.seed] = report
-    return found
+            grouped.setdefault(report["scenario"], {}).setdefault(play.variant, {})[play.seed] = report
+    return grouped
 
 
-def values(reports: dict[int, Report], seeds: Sequence[int]) -> dict[str, list[float]]:
-    told = [figures(reports[seed]) for seed in seeds]
-    return {name: [each[name] for each in told] for name in FIGURES}
+def figure_values(reports: dict[int, Report], seeds: Sequence[int]) -> dict[str, list[float]]:
+    """Each figure's values for these seeds."""
+    rows = [figures(reports[seed]) for seed in seeds]
+    return {name: [row[name] for row in rows] for name in FIGURES}
 
 
-def compared(plays: Sequence[Play], reports: Sequence[Report], a: str, b: str) -> list[Table]:
-    """For each scenario: each figure of both, over the seeds that both have."""
+def comparison_tables(plays: Sequence[Play], reports: Sequence[Report], a: str, b: str) -> list[Table]:
+    """A table for each scenario: each figure of variants `a` and `b`, over the seeds that both have."""
     tables = []
     for scenario, variants in by_variant(plays, reports).items():
         of_a, of_b = variants.get(a, {}), variants.get(b, {})
         seeds = sorted(of_a.keys() & of_b.keys())
         if not seeds:
             continue
-        in_a, in_b, rows = values(of_a, seeds), values(of_b, seeds), []
+        in_a, in_b, rows = figure_values(of_a, seeds), figure_values(of_b, seeds), []
         for name in FIGURES:
             found = difference(in_a[name], in_b[name])
-            rows.append([name, number(found.a), number(found.b), number(found.mean, "+"),
-                         f"{number(found.low, '+')} to {number(found.high, '+')}", found.verdict])
+            rows.append([
+                name, format_number(found.a), format_number(found.b), format_number(found.mean, "+"),
+                f"{format_number(found.low, '+')} to {format_number(found.high, '+')}", found.verdict])
         tables.append({"title": f"{scenario}: A {a}, B {b}, {len(seeds)} seeds",
                        "head": ["figure", "A", "B", "B - A", "95% of its mean", "verdict"], "rows": rows})
     return tables
 
 
-def swept(plays: Sequence[Play], reports: Sequence[Report]) -> list[Table]:
-    """For each scenario a line for each variant: the means, and how far the net worth moves with seeds."""
+def sweep_tables(plays: Sequence[Play], reports: Sequence[Report]) -> list[Table]:
+    """A table for each scenario with a row for each variant: mean figures and the range of net worth."""
     tables = []
     for scenario, variants in by_variant(plays, reports).items():
         rows = []
         for variant, by_seed in variants.items():
-            found = values(by_seed, sorted(by_seed))
-            net = found["net"]
-            rows.append([variant, *(number(float(np.mean(found[name]))) for name in SHORT),
-                         f"{number(min(net))} to {number(max(net))}", str(len(net))])
-        tables.append({"title": scenario, "head": ["settings", *SHORT, "net, least to most", "plays"],
+            by_figure = figure_values(by_seed, sorted(by_seed))
+            net = by_figure["net"]
+            rows.append([variant,
+                         *(format_number(float(np.mean(by_figure[name]))) for name in SWEEP_FIGURES),
+                         f"{format_number(min(net))} to {format_number(max(net))}", str(len(net))])
+        tables.append({"title": scenario, "head": ["settings", *SWEEP_FIGURES, "net, least to most", "plays"],
                        "rows": rows})
     return tables
 
 
-def ranked(
+def ranking_table(
     plays: Sequence[Play], reports: Sequence[Report], recorded: dict[str, float]
 ) -> tuple[Table, float | None]:
-    """Versions by their mean net worth over scenarios and seeds, beside what is recorded of them elsewhere.
+    """Variants by their mean net worth over scenarios and seeds, beside the recorded figure.
 
-    With the rank correlation over the versions that have a record; None with fewer than three.
+    Also returns the rank correlation over the variants with a recorded figure; None for fewer than three.
     """
     nets: dict[str, list[float]] = {}
     for variants in by_variant(plays, reports).values():
         for variant, by_seed in variants.items():
-            nets.setdefault(variant, []).extend(values(by_seed, sorted(by_seed))["net"])
+            nets.setdefault(variant, []).extend(figure_values(by_seed, sorted(by_seed))["net"])
     rows = []
     for variant, net in sorted(nets.items(), key=lambda item: -float(np.mean(item[1]))):
-        low, high = interval(np.array(net))
-        rows.append([variant, number(float(np.mean(net))), f"{number(low)} to {number(high)}", str(len(net)),
-                     number(recorded[variant]) if variant in recorded else ""])
+        low, high = mean_interval(np.array(net))
+        rows.append([variant, format_number(float(np.mean(net))),
+                     f"{format_number(low)} to {format_number(high)}", str(len(net)),
+                     format_number(recorded[variant]) if variant in recorded else ""])
     both = [variant for variant in nets if variant in recorded]
     rho = None
     if len(both) >= 3:
@@ -127,12 +131,12 @@
     return {"title": title, "head": head, "rows": rows}, rho
 
 
-def number(value: float, sign: str = "") -> str:
+def format_number(value: float, sign: str = "") -> str:
     return "none" if math.isnan(value) else f"{value:{sign}.4g}"
 
 
-def as_text(table: Table) -> str:
-    """Its title, and its rows in columns."""
+def format_table(table: Table) -> str:
+    """The table as text: its title, then its rows in aligned columns."""
     lines = [table["head"], *table["rows"]]
     first, *others = [max(len(line[n]) for line in lines) for n in range(len(table["head"]))]
     text = [table["title"]]
--- a/embersill/lab/figures.py
+++ b/embersill/lab/figures.py
@@ -1,4 +1,4 @@
-"""What runs show together: figures, paired differences, and how alike two rankings are."""
+"""Statistics over runs: figures, paired differences and rank correlation."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 import numpy as np
 
-# scipy takes a second to load, which the process of each play is spared: it is imported where it is used
-RESAMPLES = 9999  # of a bootstrap: its ends move by less than a hundredth of their width
-LEVEL = 0.95
-LEAST_PAIRS = 6  # for a verdict: fewer are all of one sign by chance more than once in twenty
+# scipy takes a second to load and is imported only where it is used, to spare the process of each play
+RESAMPLES = 9999  # of a bootstrap; moves the interval's ends by less than a hundredth of its width
+CONFIDENCE_LEVEL = 0.95
+MIN_PAIRS = 6  # for a verdict; fewer have one sign by chance with a probability above 1/20
 
 FIGURES = {
     "net": "worth served of what quotas cover, less what was spent beyond them",
@@ -29,35 +29,35 @@
 
 
 def figures(report: dict[str, Any]) -> dict[str, float]:
-    """The named figures of a run's report; nan where it has nothing to tell one by."""
+    """The figures of a run's report by name; nan where the report has no data for one."""
     requests, attempts = report["requests"], sum(report["attempts"].values())
-    served, overrun = told(report["served"]), told(report["overrun"])
+    served, overrun = or_nan(report["served"]), or_nan(report["overrun"])
     return {
         "net": served - overrun, "served": served, "overrun": overrun,
-        "refused": part(report["ends"].get("refused", 0), requests),
+        "refused": ratio(report["ends"].get("refused", 0), requests),
         "p50": float(report["latency_ms"]["p50"]), "p99": float(report["latency_ms"]["p99"]),
-        "tries": part(report["tries"], requests), "handshakes": part(report["handshakes"], attempts),
-        "counter": part(sum(report["counter"].values()), requests), "spread": told(report["load_spread"]),
+        "tries": ratio(report["tries"], requests), "handshakes": ratio(report["handshakes"], attempts),
+        "counter": ratio(sum(report["counter"].values()), requests), "spread": or_nan(report["load_spread"]),
     }
 
 
-def told(value: float | None) -> float:
+def or_nan(value: float | None) -> float:
     return float("nan") if value is None else value
 
 
-def part(some: float, whole: float) -> float:
-    return some / whole if whole else float("nan")
+def ratio(part: float, total: float) -> float:
+    return part / total if total else float("nan")
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of B against A on the same seeds: means, and a bootstrap interval of the mean difference."""
+    """B compared with A on the same seeds: both means and a bootstrap interval of the mean difference."""
 
     a: float
     b: float
     low: float
     high: float
-    plays: int
+    pairs: int
 
     @property
     def mean(self) -> float:
@@ -67,37 +67,40 @@
     def verdict(self) -> str:
         if self.low == self.high == 0.0:
             return "same"
-        if self.plays < LEAST_PAIRS or not (self.low > 0.0 or self.high < 0.0):
+        if self.pairs < MIN_PAIRS or not (self.low > 0.0 or self.high < 0.0):
             return "undecided"
         return "B more" if self.low > 0.0 else "B less"
 
 
 def difference(a: Sequence[float], b: Sequence[float]) -> Difference:
-    """Paired by place. With one pair the interval is unbounded. ValueError for unpaired ones."""
+    """Compares values that are paired by index. With one pair the interval is unbounded.
+
+    Raises ValueError for sequences of different lengths or without values.
+    """
     if len(a) != len(b) or not a:
         raise ValueError("figures that are compared come in pairs")
-    steps = np.array(b) - np.array(a)
-    low, high = interval(steps)
+    differences = np.array(b) - np.array(a)
+    low, high = mean_interval(differences)
     return Difference(float(np.mean(a)), float(np.mean(b)), low, high, len(a))
 
 
-def interval(values: np.ndarray[tuple[int], np.dtype[np.float64]]) -> tuple[float, float]:
-    """Of the mean, by the bootstrap with a seed of its own: the same for the same values."""
+def mean_interval(values: np.ndarray[tuple[int], np.dtype[np.float64]]) -> tuple[float, float]:
+    """Confidence interval of the mean, by a bootstrap with a fixed seed."""
     if len(values) < 2:
         return float("-inf"), float("inf")
     if np.ptp(values) == 0.0:
         return float(values[0]), float(values[0])
     from scipy import stats
 
-    found = stats.bootstrap(
-        (values,), np.mean, n_resamples=RESAMPLES, confidence_level=LEVEL, method="percentile",
+    result = stats.bootstrap(
+        (values,), np.mean, n_resamples=RESAMPLES, confidence_level=CONFIDENCE_LEVEL, method="percentile",
         rng=np.random.default_rng(0),
     ).confidence_interval
-    return float(found.low), float(found.high)
+    return float(result.low), float(result.high)
 
 
 def rank_correlation(a: Sequence[float], b: Sequence[float]) -> float:
-    """Spearman's; nan where one of them ranks nothing."""
+    """Spearman's rank correlation; nan if all values of one sequence are equal."""
     from scipy import stats
 
     with warnings.catch_warnings():
--- a/embersill/lab/network.py
+++ b/embersill/lab/network.py
@@ -1,4 +1,4 @@
-"""The network between the parts: how long a message takes, and what does not pass."""
+"""The simulated network: delays, isolated zones and lost answers."""
 
 from __future__ import annotations
 
@@ -7,40 +7,42 @@
 from dataclasses import dataclass, field
 
 from embersill.lab.machine import Machine
-from embersill.lab.scenario import Net
+from embersill.lab.scenario import NetworkConfig
 
 
 @dataclass(slots=True)
-class Weather:
-    """What the network does to all."""
+class NetworkConditions:
+    """The present faults of the network, shared by all gateways."""
 
-    cut: set[frozenset[str]] = field(default_factory=set)  # zones with whom nobody else can talk
-    lost: float = 0.0  # part of the answers
-    late_until: float = 0.0  # until when news of the list wait
+    isolated_zones: set[frozenset[str]] = field(default_factory=set)  # groups of zones that are cut off
+    loss_rate: float = 0.0  # share of the answers that are lost
+    list_delayed_until: float = 0.0  # list changes are not delivered before
 
 
-class Way:
-    """The network from one gateway."""
+class GatewayNetwork:
+    """The network as seen from one gateway; delays are in seconds, one way."""
 
     def __init__(
-        self, net: Net, zone: str, dice: random.Random, weather: Weather, regions: Mapping[str, str] = {}
+        self, config: NetworkConfig, zone: str, rng: random.Random, conditions: NetworkConditions,
+        regions: Mapping[str, str] = {},
     ) -> None:
-        self.net, self.zone, self.dice, self.weather, self.regions = net, zone, dice, weather, regions
+        self.config, self.zone, self.rng, self.conditions, self.regions = (
+            config, zone, rng, conditions, regions)
 
     def delay(self, machine: Machine) -> float:
-        base = self.net.same
+        base = self.config.same
         if machine.zone != self.zone:
-            near = self.regions.get(machine.zone) == self.regions.get(self.zone)
-            base = self.net.cross if near else self.net.far
-        return base * (1.0 + self.net.jitter * self.dice.random())
+            same_region = self.regions.get(machine.zone) == self.regions.get(self.zone)
+            base = self.config.cross if same_region else self.config.far
+        return base * (1.0 + self.config.jitter * self.rng.random())
 
-    def passes(self, zone: str) -> bool:
-        """False while nothing passes between there and here."""
-        return all((zone in island) is (self.zone in island) for island in self.weather.cut)
+    def reaches(self, zone: str) -> bool:
+        """Whether messages pass between that zone and the gateway's."""
+        return all((zone in zones) is (self.zone in zones) for zones in self.conditions.isolated_zones)
 
-    def loses(self) -> bool:
-        """True for an answer that gets lost."""
-        return self.weather.lost > 0.0 and self.dice.random() < self.weather.lost
+    def loses_answer(self) -> bool:
+        """Draws whether an answer is lost."""
+        return self.conditions.loss_rate > 0.0 and self.rng.random() < self.conditions.loss_rate
 
-    def client(self) -> float:
-        return self.net.client * (1.0 + self.net.jitter * self.dice.random())
+    def client_delay(self) -> float:
+        return self.config.client * (1.0 + self.config.jitter * self.rng.random())
--- a/embersill/lab/node.py
+++ b/embersill/lab/node.py
@@ -1,4 +1,4 @@
-"""A gateway in the model: the real decisions and the real pool, whose actions are carried out with delays."""
+"""A simulated gateway: the real decisions and connection pool over simulated connections."""
 
 from __future__ import annotations
 
@@ -12,291 +12,306 @@
     ConnectFailed, CounterCallEnded, Event, Fail, Outcome, Preconnect, Refuse, Request, Send, SetPoolSize,
     SetTimer, Settings, TimerExpired,
 )
-from embersill.lab.clock import Event as Due
-from embersill.lab.clock import Time
+from embersill.lab.clock import ScheduledCall, Scheduler
 from embersill.lab.counter import CounterService
 from embersill.lab.machine import Condition, Job, Machine
-from embersill.lab.network import Way
-from embersill.lab.rules import Rules
-from embersill.lab.scenario import Class, PlanForm
+from embersill.lab.network import GatewayNetwork
+from embersill.lab.rules import RuleChecker
+from embersill.lab.scenario import ClassConfig, PlanConfig
 from embersill.net.pool import Address, OpenFailure, PooledConnection, Pool, ConnectionState, Waiter
 
-SWEEP_EVERY = 1.0  # seconds between the pool's looks for idle connections, as in net/backends.py
-NOWHERE: Address = ("", 0)  # the model knows a backend by its name
-Figures = tuple[Tally[str], Tally[str], Tally[str]]  # attempts by outcome, refusals by reason, connections
+IDLE_SCAN_INTERVAL = 1.0  # seconds between closings of expired idle connections, as in net/backends.py
+NO_ADDRESS: Address = ("", 0)  # simulated backends are identified by name
+Figures = tuple[Tally[str], Tally[str], Tally[str]]  # attempts by outcome, refusals by reason, pool's counts
 
 
 @dataclass(slots=True)
-class Call:
-    """A client's try here, until it has its answer.
+class ClientTry:
+    """One try of a client's request at this gateway, until it is answered.
 
-    `deadline` is its client's, `end` the gateway's, a little before. `sent_on` is called at the first
-    attempt, which takes its unit from the quota; `answered` with SERVED, REJECTED for a refusal (and its
-    Retry-After), or ERROR for a failure.
+    `gateway_deadline` is a little before `client_deadline`. `on_first_send` is called at the first attempt,
+    which takes the try's unit from the quota. `on_answer` is called with SERVED, REJECTED for a refusal (with
+    its Retry-After), ERROR for a failure or CONNECTION_LOST.
     """
 
-    klass: Class
-    plan: PlanForm
+    request_class: ClassConfig
+    plan: PlanConfig
     work: float
-    deadline: float
-    end: float
-    sent_on: Callable[[], None]
-    answered: Callable[[Outcome, float], None]
-    tries: list[Attempt] = field(default_factory=list)
-    left: bool = False  # its client has gone
+    client_deadline: float
+    gateway_deadline: float
+    on_first_send: Callable[[], None]
+    on_answer: Callable[[Outcome, float], None]
+    attempts: list[Attempt] = field(default_factory=list)
+    client_disconnected: bool = False
 
 
 class Attempt:
-    """One attempt, from its decision to its outcome."""
-
-    def __init__(self, node: Node, number: int, place: int, backend: str, until: float) -> None:
-        self.node, self.number, self.place, self.backend, self.until = node, number, place, backend, until
-        self.sent_at = node.clock.now
-        self.link: Wire | None = None
+    """One attempt, from the decision to send it to its outcome; a `Waiter` of the pool."""
+
+    def __init__(
+        self, gateway: ModelGateway, request_number: int, index: int, backend: str, until: float
+    ) -> None:
+        self.gateway, self.request_number, self.index, self.backend, self.until = (
+            gateway, request_number, index, backend, until)
+        self.sent_at = gateway.clock.now
+        self.connection: ModelConnection | None = None
         self.ended = False
-        self.timer: Due = node.clock.later(max(until - self.sent_at, 0.0), self.time_out)
+        self.timer: ScheduledCall = gateway.clock.later(max(until - self.sent_at, 0.0), self.time_out)
 
     def lost(self, outcome: Outcome) -> None:
         self.end(outcome)
 
     def time_out(self) -> None:
-        if self.link is not None:
+        if self.connection is not None:
             self.end(Outcome.TIMED_OUT)
-            self.node.pool.close_idle(self.backend)
+            self.gateway.pool.close_idle(self.backend)
         else:
-            self.end(self.node.pool.timeout_outcome(self))
+            self.end(self.gateway.pool.timeout_outcome(self))
 
     def end(self, outcome: Outcome) -> None:
         if self.ended:
             return
         self.ended = True
         self.timer.cancel()
-        self.node.pool.withdraw(self)
-        if self.link is not None:
-            self.link.give_up(self)
-        self.node.attempt_ended(self, outcome)
+        self.gateway.pool.withdraw(self)
+        if self.connection is not None:
+            self.connection.abandon(self)
+        self.gateway.attempt_ended(self, outcome)
 
 
-class Wire(PooledConnection):
-    """A connection to a machine."""
+class ModelConnection(PooledConnection):
+    """A simulated connection to a backend's machine."""
 
-    def __init__(self, node: Node, machine: Machine) -> None:
+    def __init__(self, gateway: ModelGateway, machine: Machine) -> None:
         super().__init__(machine.name)
-        self.node, self.machine, self.up, self.first = node, machine, False, True
-        node.wired += 1
-        self.serial = node.wired
+        self.gateway, self.machine, self.is_open, self.awaits_first_request = gateway, machine, False, True
+        gateway.connections_opened += 1
+        self.serial = gateway.connections_opened
         self.attempt: Attempt | None = None
         self.job: Job | None = None
-        self.dialled = node.clock.later(2.0 * node.way.delay(machine), self.come_up)
-        self.timer = node.clock.later(node.dial_timeout, self.stay_silent)
+        self.connect_completion = gateway.clock.later(
+            2.0 * gateway.network.delay(machine), self.complete_connecting)
+        self.connect_timeout = gateway.clock.later(gateway.dial_timeout, self.time_out_connecting)
 
-    def come_up(self) -> None:
-        if self.state is not ConnectionState.OPENING or not self.node.way.passes(self.machine.zone):
+    def complete_connecting(self) -> None:
+        if self.state is not ConnectionState.OPENING or not self.gateway.network.reaches(self.machine.zone):
             return
-        self.timer.cancel()
+        self.connect_timeout.cancel()
         if self.machine.connect():
-            self.up = True
-            self.node.pool.opening_succeeded(self)
+            self.is_open = True
+            self.gateway.pool.opening_succeeded(self)
         else:
-            self.node.pool.opening_failed(self, OpenFailure.REFUSED)
-            self.node.pool.connection_closed(self)
+            self.gateway.pool.opening_failed(self, OpenFailure.REFUSED)
+            self.gateway.pool.connection_closed(self)
 
-    def stay_silent(self) -> None:
+    def time_out_connecting(self) -> None:
         if self.state is ConnectionState.OPENING:
-            self.node.pool.opening_failed(self, OpenFailure.TIMED_OUT)
-            self.node.pool.connection_closed(self)
+            self.gateway.pool.opening_failed(self, OpenFailure.TIMED_OUT)
+            self.gateway.pool.connection_closed(self)
 
     def send(self, attempt: Waiter, wait: float) -> None:
         assert isinstance(attempt, Attempt)
-        self.attempt, attempt.link = attempt, self
-        work = self.node.work(attempt.number) + (self.machine.form.handshake_s if self.first else 0.0)
-        self.first = False
-        known = self.node.gateway.servers.get(self.backend)
-        told = known is not None and known.backend.started_at == self.machine.started
-        self.job = job = Job(work, self.answer, told)
-        if self.node.way.passes(self.machine.zone):
-            self.node.clock.later(self.node.way.delay(self.machine), lambda: self.machine.take(job))
-
-    def answer(self, job: Job, served: bool) -> None:
-        if self.node.way.passes(self.machine.zone) and not self.node.way.loses():
-            self.node.clock.later(self.node.way.delay(self.machine), lambda: self.receive(job, served))
-
-    def receive(self, job: Job, served: bool) -> None:
+        self.attempt, attempt.connection = attempt, self
+        work = self.gateway.work_of(attempt.request_number) + (
+            self.machine.config.handshake_s if self.awaits_first_request else 0.0)
+        self.awaits_first_request = False
+        server = self.gateway.decisions.servers.get(self.backend)
+        start_known = server is not None and server.backend.started_at == self.machine.started_at
+        self.job = job = Job(work, self.send_answer, start_known)
+        if self.gateway.network.reaches(self.machine.zone):
+            self.gateway.clock.later(
+                self.gateway.network.delay(self.machine), lambda: self.machine.receive(job))
+
+    def send_answer(self, job: Job, served: bool) -> None:
+        if self.gateway.network.reaches(self.machine.zone) and not self.gateway.network.loses_answer():
+            self.gateway.clock.later(
+                self.gateway.network.delay(self.machine), lambda: self.on_answer(job, served))
+
+    def on_answer(self, job: Job, served: bool) -> None:
         attempt = self.attempt
-        if attempt is None or self.job is not job or not self.up:
+        if attempt is None or self.job is not job or not self.is_open:
             return
-        self.attempt = self.job = attempt.link = None
-        self.node.pool.answer_received(self)
-        self.node.pool.release(self)
+        self.attempt = self.job = attempt.connection = None
+        self.gateway.pool.answer_received(self)
+        self.gateway.pool.release(self)
         attempt.end(Outcome.SERVED if served else Outcome.REJECTED)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abandon(self, attempt: Attempt) -> None:
+        """Aborts the connection if the attempt is still without an answer on it."""
         if self.attempt is attempt:
             self.attempt = None
             if self.job is not None:
-                self.machine.give_up(self.job)
+                self.machine.abandon(self.job)
             self.abort()
 
     def reset(self) -> None:
-        """It breaks: the machine's process is gone, or something between."""
-        if self.up:
-            self.up = False
-            self.leave()
+        """The connection is reset, by the end of the machine's process or in the network."""
+        if self.is_open:
+            self.is_open = False
+            self.free_table_entry()
             attempt, self.attempt = self.attempt, None
-            self.node.pool.connection_closed(self)
+            self.gateway.pool.connection_closed(self)
             if attempt is not None:
-                attempt.link = None
-                self.node.pool.connection_broke(self, attempt.sent_at)
+                attempt.connection = None
+                self.gateway.pool.connection_broke(self, attempt.sent_at)
                 attempt.end(Outcome.CONNECTION_LOST)
 
     def abort(self) -> None:
-        self.dialled.cancel()
-        self.timer.cancel()
-        if self.up:
-            self.up = False
-            self.leave()
-        self.node.clock.later(0.0, lambda: self.node.pool.connection_closed(self))
-
-    def leave(self) -> None:
+        self.connect_completion.cancel()
+        self.connect_timeout.cancel()
+        if self.is_open:
+            self.is_open = False
+            self.free_table_entry()
+        self.gateway.clock.later(0.0, lambda: self.gateway.pool.connection_closed(self))
+
+    def free_table_entry(self) -> None:
         if self.machine.condition is not Condition.DOWN:
             self.machine.connections -= 1
 
     def is_reusable(self) -> bool:
-        return self.up
+        return self.is_open
 
 
-class Node:
-    """One process of a gateway, from its start to its end."""
+class ModelGateway:
+    """One simulated process of a gateway, from its start to its end."""
 
-    def __init__(self, name: str, clock: Time, settings: Settings, seed: int, way: Way,
-                 machines: dict[str, Machine], counter: CounterService, rules: Rules, most: int,
-                 dial_timeout: float, keepalive: float, skew: float = 0.0) -> None:
-        """`name`: of this process, and of no other in the run; `skew`: seconds that its clock is ahead."""
+    def __init__(
+        self, name: str, clock: Scheduler, settings: Settings, seed: int, network: GatewayNetwork,
+        machines: dict[str, Machine], counter: CounterService, rules: RuleChecker, max_connections: int,
+        dial_timeout: float, keepalive: float, clock_skew: float = 0.0,
+    ) -> None:
+        """`name`: unique among all processes of the run; `clock_skew`: seconds that its clock is ahead."""
         self.name, self.rules = name, rules
-        self.clock, self.way, self.machines, self.counter = clock, way, machines, counter
+        self.clock, self.network, self.machines, self.counter = clock, network, machines, counter
         self.dial_timeout, self.alive = dial_timeout, True
-        self.skew = skew
-        self.gateway = Gateway(settings, seed, clock.now + skew)
-        self.pool = Pool(lambda: clock.now, self.open, most, keepalive, settings.pool, seed)
-        self.pool.on_open_failed = lambda backend, up: self.post(ConnectFailed(backend, up))
-        self.calls: dict[int, Call] = {}
-        self.taken = self.wired = 0
+        self.clock_skew = clock_skew
+        self.decisions = Gateway(settings, seed, clock.now + clock_skew)
+        self.pool = Pool(lambda: clock.now, self.open, max_connections, keepalive, settings.pool, seed)
+        self.pool.on_open_failed = lambda backend, open_connections: self.post(
+            ConnectFailed(backend, open_connections))
+        self.tries: dict[int, ClientTry] = {}
+        self.last_number = self.connections_opened = 0
         self.events: list[Event] = []
         self.handling = False
-        self.ends: Tally[str] = Tally()
-        self.sweep()
+        self.outcomes: Tally[str] = Tally()
+        self.close_idle()
 
     def open(self, backend: str, address: Address) -> PooledConnection:
-        return Wire(self, self.machines[backend])
+        return ModelConnection(self, self.machines[backend])
 
-    def wires(self) -> list[Wire]:
-        """Its connections in the order of their opening: a set's own order differs from run to run."""
-        return sorted((k for k in self.pool.connections if isinstance(k, Wire)), key=lambda wire: wire.serial)
+    def connections_in_order(self) -> list[ModelConnection]:
+        """Its connections in opening order, as the order of a set differs from run to run."""
+        return sorted((k for k in self.pool.connections if isinstance(k, ModelConnection)),
+                      key=lambda connection: connection.serial)
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         if self.alive:
             self.pool.close_expired()
-            self.clock.later(SWEEP_EVERY, self.sweep)
-
-    # what happens
-
-    def take(self, request: Request, call: Call) -> None:
-        """A client's try; `request` has a number of this gateway's, from `number`."""
-        self.calls[request.id] = call
-        self.rules.taken(self.name, request.id, call.klass, request.customer, call.deadline)
-        self.post(replace(request, deadline=request.deadline + self.skew) if self.skew else request)
-
-    def leave(self, number: int) -> None:
-        """The client of that try has gone."""
-        call = self.calls.get(number)
-        if call is None or call.left or not self.alive:
+            self.clock.later(IDLE_SCAN_INTERVAL, self.close_idle)
+
+    # events
+
+    def accept(self, request: Request, client_try: ClientTry) -> None:
+        """Accepts a client's try; the request's id comes from `next_number`."""
+        self.tries[request.id] = client_try
+        self.rules.on_request(
+            self.name, request.id, client_try.request_class, request.customer, client_try.client_deadline)
+        self.post(
+            replace(request, deadline=request.deadline + self.clock_skew) if self.clock_skew else request)
+
+    def disconnect_client(self, request_number: int) -> None:
+        """The client of that try has disconnected."""
+        client_try = self.tries.get(request_number)
+        if client_try is None or client_try.client_disconnected or not self.alive:
             return
-        call.left = True
-        self.rules.left(self.name, number)
-        for attempt in call.tries:
-            if attempt.link is None:
+        client_try.client_disconnected = True
+        self.rules.on_client_disconnected(self.name, request_number)
+        for attempt in client_try.attempts:
+            if attempt.connection is None:
                 attempt.end(Outcome.NOT_SENT)
-        self.post(ClientDisconnected(number))
-        self.forget(number)
+        self.post(ClientDisconnected(request_number))
+        self.drop_finished(request_number)
 
-    def forget(self, number: int) -> None:
-        """One whose client has gone stays until its attempts have ended."""
-        call = self.calls.get(number)
-        if call is not None and call.left and all(attempt.ended for attempt in call.tries):
-            del self.calls[number]
+    def drop_finished(self, request_number: int) -> None:
+        """Drops a try whose client has disconnected, once all its attempts have ended."""
+        client_try = self.tries.get(request_number)
+        if client_try is not None and client_try.client_disconnected and all(
+                attempt.ended for attempt in client_try.attempts):
+            del self.tries[request_number]
 
-    def number(self) -> int:
-        self.taken += 1
-        return self.taken
+    def next_number(self) -> int:
+        self.last_number += 1
+        return self.last_number
 
-    def hear(self, event: BackendList) -> None:
+    def receive_list(self, event: BackendList) -> None:
         if not self.alive:
             return
-        self.rules.told(self.name, event.backends, self.clock.now)
+        self.rules.on_list(self.name, event.backends, self.clock.now)
         for backend in event.backends:
             if backend.status.value == "serving":
-                self.pool.set_address(backend.address, NOWHERE, backend.started_at)
+                self.pool.set_address(backend.address, NO_ADDRESS, backend.started_at)
             else:
                 self.pool.retire(backend.address)
         self.post(event)
 
-    def counted(self, event: CounterCallEnded) -> None:
+    def on_counter_result(self, event: CounterCallEnded) -> None:
         if self.alive:
             self.post(event)
 
-    def due(self, key: str) -> None:
+    def on_timer(self, key: str) -> None:
         if self.alive:
             self.post(TimerExpired(key))
 
-    def work(self, number: int) -> float:
-        return self.calls[number].work
+    def work_of(self, request_number: int) -> float:
+        return self.tries[request_number].work
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         if not self.alive:
             return
-        self.ends[outcome.value] += 1
-        self.rules.ended(self.name, attempt.number, attempt.place, outcome)
+        self.outcomes[outcome.value] += 1
+        self.rules.on_attempt_ended(self.name, attempt.request_number, attempt.index, outcome)
         if outcome is Outcome.SERVED:
-            self.finish(attempt.number, Outcome.SERVED)
-        call = self.calls.get(attempt.number)
-        over = call is None or call.left
-        self.post(AttemptEnded(attempt.number, attempt.place, attempt.backend, outcome,
-                               self.clock.now - attempt.sent_at, over, 0.0, ()))
-        self.forget(attempt.number)
+            self.answer_client(attempt.request_number, Outcome.SERVED)
+        client_try = self.tries.get(attempt.request_number)
+        request_ended = client_try is None or client_try.client_disconnected
+        self.post(AttemptEnded(attempt.request_number, attempt.index, attempt.backend, outcome,
+                               self.clock.now - attempt.sent_at, request_ended, 0.0, ()))
+        self.drop_finished(attempt.request_number)
 
-    # what the module wants
+    # decisions and their actions
 
     def post(self, event: Event) -> None:
+        """Handles the event and those that its actions raise, in order."""
         self.events.append(event)
         if self.handling:
             return
         self.handling = True
         try:
             while self.events:
-                for action in self.gateway.handle(self.events.pop(0), self.clock.now + self.skew):
-                    self.act(action)
+                for action in self.decisions.handle(self.events.pop(0), self.clock.now + self.clock_skew):
+                    self.perform(action)
         finally:
             self.handling = False
 
-    def act(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         if isinstance(action, Send):
             self.send(action)
         elif isinstance(action, SetTimer):
             key = action.key
-            self.clock.later(action.delay, lambda: self.due(key))
+            self.clock.later(action.delay, lambda: self.on_timer(key))
         elif isinstance(action, AddToCounter):
-            if self.way.passes(self.counter.zone):
-                self.counter.add(action.name, action.amount, action.expire_after, self.counted)
+            if self.network.reaches(self.counter.zone):
+                self.counter.add(action.name, action.amount, action.expire_after, self.on_counter_result)
             else:
-                self.counter.stay_silent(action.name, self.counted)
+                self.counter.time_out_call(action.name, self.on_counter_result)
         elif isinstance(action, Refuse):
-            self.finish(action.request, Outcome.REJECTED, action.retry_after)
+            self.answer_client(action.request, Outcome.REJECTED, action.retry_after)
         elif isinstance(action, Fail):
-            self.finish(action.request, Outcome.ERROR)
+            self.answer_client(action.request, Outcome.ERROR)
         elif isinstance(action, Cancel):
-            call = self.calls.get(action.request)
-            if call is not None:
-                call.tries[action.attempt].end(Outcome.CANCELLED)
+            client_try = self.tries.get(action.request)
+            if client_try is not None:
+                client_try.attempts[action.attempt].end(Outcome.CANCELLED)
         elif isinstance(action, SetPoolSize):
             self.pool.set_size(action.backend, action.max_idle, action.max_connections, action.max_idle_time)
         elif isinstance(action, Preconnect):
@@ -305,49 +320,51 @@
             self.pool.close_unused(action.backend)
 
     def send(self, action: Send) -> None:
-        call = self.calls.get(action.request)
-        if call is None or call.left:
+        client_try = self.tries.get(action.request)
+        if client_try is None or client_try.client_disconnected:
             return
-        self.rules.sent(self.name, action.request, self.machines[action.backend], call.plan, self.clock.now)
-        if not call.tries:
-            call.sent_on()
-        until = call.end if action.timeout <= 0 else min(call.end, self.clock.now + action.timeout)
-        attempt = Attempt(self, action.request, len(call.tries), action.backend, until)
-        call.tries.append(attempt)
+        self.rules.on_sent(
+            self.name, action.request, self.machines[action.backend], client_try.plan, self.clock.now)
+        if not client_try.attempts:
+            client_try.on_first_send()
+        until = (client_try.gateway_deadline if action.timeout <= 0
+                 else min(client_try.gateway_deadline, self.clock.now + action.timeout))
+        attempt = Attempt(self, action.request, len(client_try.attempts), action.backend, until)
+        client_try.attempts.append(attempt)
         self.pool.start(attempt)
 
-    def finish(self, number: int, outcome: Outcome, retry_after: float = 0.0) -> None:
-        call = self.calls.get(number)
-        if call is not None and not call.left:
-            del self.calls[number]
-            self.rules.answered(self.name, number, outcome, self.clock.now)
-            call.answered(outcome, retry_after)
-            for attempt in call.tries:
-                if not attempt.ended and attempt.link is None:
-                    attempt.end(Outcome.NOT_SENT)  # it must not be written for a request that is over
-
-    def break_links(self, machine: Machine) -> None:
-        """All its connections to that machine are reset."""
-        for wire in self.wires():
-            if wire.machine is machine:
-                wire.reset()
+    def answer_client(self, request_number: int, outcome: Outcome, retry_after: float = 0.0) -> None:
+        client_try = self.tries.get(request_number)
+        if client_try is not None and not client_try.client_disconnected:
+            del self.tries[request_number]
+            self.rules.on_answer(self.name, request_number, outcome, self.clock.now)
+            client_try.on_answer(outcome, retry_after)
+            for attempt in client_try.attempts:
+                if not attempt.ended and attempt.connection is None:
+                    attempt.end(Outcome.NOT_SENT)  # no attempt may be written for an ended request
+
+    def reset_connections(self, machine: Machine) -> None:
+        """Resets all its connections to that machine."""
+        for connection in self.connections_in_order():
+            if connection.machine is machine:
+                connection.reset()
 
     def figures(self) -> Figures:
-        return self.ends, self.gateway.given_up, self.pool.figures
+        return self.outcomes, self.decisions.given_up, self.pool.figures
 
-    # its end
+    # end of the process
 
-    def die(self) -> list[Call]:
-        """At once, as by SIGKILL: connections end, and what was taken has no answer. Those calls."""
+    def kill(self) -> list[ClientTry]:
+        """Ends the process at once, as SIGKILL does, and returns the tries that are left unanswered."""
         self.alive = False
-        self.rules.died(self.name)
-        calls, self.calls = list(self.calls.values()), {}
-        for attempt in [attempt for call in calls for attempt in call.tries]:
+        self.rules.on_gateway_died(self.name)
+        tries, self.tries = list(self.tries.values()), {}
+        for attempt in [attempt for client_try in tries for attempt in client_try.attempts]:
             attempt.timer.cancel()
-            self.pool.withdraw(attempt)  # else the end of a connection opens another for it
-        for link in self.wires():
-            if link.job is not None:
-                link.machine.give_up(link.job)
-            link.attempt = None
-            link.abort()
-        return calls
+            self.pool.withdraw(attempt)  # otherwise the end of a connection would open another for it
+        for connection in self.connections_in_order():
+            if connection.job is not None:
+                connection.machine.abandon(connection.job)
+            connection.attempt = None
+            connection.abort()
+        return tries
--- a/embersill/lab/peers.py
+++ b/embersill/lab/peers.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and listening sockets for peers on loopback: the laboratory's real mode, and the tests."""
+"""Peers of gateways on loopback, with simple HTTP/1.1, for the laboratory's real mode and the tests."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 import struct
 
 HOST = "127.0.0.1"
-READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
-Asked = tuple[str, dict[str, str], bytes]  # a message: first line, headers in lower case, body
+READY_REQUEST = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
+HttpMessage = tuple[str, dict[str, str], bytes]  # first line, headers with names in lower case, body
 
 
 class Peer:
-    """A listening socket; every connection is given to `serve`."""
+    """A listening socket that passes each accepted connection to `serve`."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.address = ""
         self.connections = 0
-        self.open: set[asyncio.StreamWriter] = set()
+        self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, port: int = 0) -> None:
-        self.server = await asyncio.start_server(self.connected, HOST, port)
+        self.server = await asyncio.start_server(self.on_connection, HOST, port)
         self.address = f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
-    async def connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        self.open.add(writer)
+        self.writers.add(writer)
         try:
             await self.serve(reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the gateway closed it, or all is over
+            pass  # the gateway closed it, or the run has ended
         finally:
-            self.open.discard(writer)
+            self.writers.discard(writer)
             writer.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -43,12 +43,12 @@
     async def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        for writer in list(self.open):
+        for writer in list(self.writers):
             writer.transport.abort()
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Ends the connection so that the other side sees it broken, not only closed for sending."""
+    """Aborts the connection with a TCP reset."""
     if writer.transport.is_closing():
         return
     sock = writer.get_extra_info("socket")
@@ -56,8 +56,8 @@
     writer.transport.abort()
 
 
-async def read_message(reader: asyncio.StreamReader) -> Asked:
-    """One HTTP message: its first line, headers in lower case, and body."""
+async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
+    """Reads one HTTP message. Raises IncompleteReadError if the connection ends first."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip().split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
@@ -72,13 +72,13 @@
 
 
 async def is_ready(port: int) -> bool:
-    """Whether the gateway at this port of loopback says that it is ready."""
+    """Whether the gateway at this port of loopback reports that it is ready."""
     try:
         reader, writer = await asyncio.open_connection(HOST, port)
     except OSError:
         return False
     try:
-        writer.write(READY)
+        writer.write(READY_REQUEST)
         first, _, _ = await read_message(reader)
         return first.split()[1] == "200"
     except (OSError, asyncio.IncompleteReadError):
@@ -87,34 +87,35 @@
         writer.close()
 
 
-def message(status: int, body: bytes = b"", *headers: str) -> bytes:
+def response_bytes(status: int, body: bytes = b"", *headers: str) -> bytes:
+    """An HTTP response with a Content-Length; `headers`: complete lines."""
     lines = [f"HTTP/1.1 {status} X", *headers, f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode() + body
 
 
-async def read_call(reader: asyncio.StreamReader) -> list[str]:
-    """One call to the counter: an array of strings, as RESP2 has it."""
-    words = []
+async def read_counter_call(reader: asyncio.StreamReader) -> list[str]:
+    """Reads one call to the counter, a RESP2 array of bulk strings."""
+    arguments = []
     for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
         size = int((await reader.readuntil(b"\r\n"))[1:])
-        words.append((await reader.readexactly(size + 2))[:-2].decode())
-    return words
+        arguments.append((await reader.readexactly(size + 2))[:-2].decode())
+    return arguments
 
 
-def total_text(total: float) -> bytes:
-    """A counter's answer."""
+def counter_reply(total: float) -> bytes:
+    """A counter's answer, a RESP2 bulk string."""
     text = f"{total:.7g}"
     return f"${len(text)}\r\n{text}\r\n".encode()
 
 
-# of each process its own, as gateways share a port with others that listen on it
-PORTS = itertools.count(20000 + os.getpid() * 256 % 12000)
+# a range for each process, as gateways bind with SO_REUSEPORT and would share a port that is in use
+PORT_NUMBERS = itertools.count(20000 + os.getpid() * 256 % 12000)
 
 
 def free_port() -> int:
-    """A port for a process that is started later: below those that connections get, as one might take it."""
+    """A free port for a process to be started; below the ephemeral ports, which a connection could take."""
     while True:
-        port = 20000 + next(PORTS) % 12000
+        port = 20000 + next(PORT_NUMBERS) % 12000
         with socket.socket() as probe:
             try:
                 probe.bind((HOST, port))
--- a/embersill/lab/rules.py
+++ b/embersill/lab/rules.py
@@ -1,24 +1,28 @@
-"""The protocol's rules as checkers: each sees what happens, and names time and parties at a breach."""
+"""Checks of the protocol's rules over the events of a run; each breach names its time and parties."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from embersill.interface import Backend, Outcome, BackendStatus
-from embersill.lab.customers import Store
+from embersill.interface import Backend, BackendStatus, Outcome
+from embersill.lab.customers import TokenBucket
 from embersill.lab.machine import Machine
-from embersill.lab.scenario import Class, PlanForm
+from embersill.lab.scenario import ClassConfig, PlanConfig
 
-SLACK = 0.05  # seconds by which each time limit is lengthened: the protocol's
-LEAST_SLACK = 1.0  # units by which a ceiling's store may fall below nought, at the least: the largest request
-SLACK_PART = 0.1  # and as a part of its burst: the site page's
-TOLD_PART = 2 / 3  # of the work at a fallen backend that came from gateways that had been told of its start
+TIME_SLACK = 0.05  # seconds that the protocol allows beyond each time limit
+# units by which a ceiling's bucket may fall below zero: the larger of the largest request and a share of its
+# burst, which the site's rules allow
+MIN_CEILING_SLACK = 1.0
+CEILING_SLACK_SHARE = 0.1
+# share of the requests at a collapsed backend, sent by gateways that were notified of its start, from which
+# the collapse is a breach
+INFORMED_SHARE = 2 / 3
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """`at`: seconds on the run's clock."""
+    """A broken rule; `at`: time on the run's clock, in seconds."""
 
     rule: str
     at: float
@@ -26,133 +30,150 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """An attempt as the rules see it."""
+class SentAttempt:
+    """An attempt sent to a backend."""
 
     machine: Machine
-    at: float
-    out: bool = True
+    sent_at: float
+    in_flight: bool = True
     never_ran: bool = False
 
 
 @dataclass(slots=True)
-class Taken:
-    """A request that a gateway owes an answer."""
+class AcceptedRequest:
+    """A request that a gateway has accepted and must answer."""
 
-    name: str
-    klass: Class
+    name: str  # number and gateway, as breaches name it
+    request_class: ClassConfig
     customer: str
     deadline: float
-    attempts: list[Sent] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
     answered: Outcome | None = None
 
-    def risky(self) -> Sent | None:
+    def first_possibly_run(self) -> SentAttempt | None:
         """The first attempt that may have run."""
         return next((a for a in self.attempts if not a.never_ran), None)
 
 
-class Rules:
-    """All checkers over one run. Whoever has died is owed nothing, and owes nothing."""
+class RuleChecker:
+    """All checks over one run. Requests of a gateway that has died are not checked any further."""
 
     def __init__(self, stop_within: float = 1.0) -> None:
-        """`stop_within`: seconds after its news in which sends to a drained or gone backend must end."""
+        """`stop_within`: seconds after a gateway is notified that a backend is drained or removed, by which
+        its sends to that backend must stop."""
         self.stop_within = stop_within
-        self.drained: dict[tuple[str, str], float] = {}  # by gateway and backend: since when it was told
+        self.drained_since: dict[tuple[str, str], float] = {}  # by gateway and backend: when it was notified
         self.breaches: list[Breach] = []
-        self.open: dict[tuple[str, int], Taken] = {}
-        self.ceilings: dict[str, Store] = {}
+        self.pending: dict[tuple[str, int], AcceptedRequest] = {}
+        self.ceilings: dict[str, TokenBucket] = {}
 
     def breach(self, rule: str, at: float, what: str) -> None:
         self.breaches.append(Breach(rule, at, what))
 
-    # what happens
+    # events
 
-    def told(self, node: str, listed: Iterable[Backend], now: float) -> None:
-        """A gateway hears of changes."""
-        for backend in listed:
+    def on_list(self, gateway: str, entries: Iterable[Backend], now: float) -> None:
+        """A gateway receives a list or changes of it."""
+        for backend in entries:
             if backend.status is BackendStatus.SERVING:
-                self.drained.pop((node, backend.address), None)
+                self.drained_since.pop((gateway, backend.address), None)
             else:
-                self.drained.setdefault((node, backend.address), now)
-
-    def taken(self, node: str, number: int, klass: Class, customer: str, deadline: float) -> None:
-        self.open[node, number] = Taken(f"{number} at {node}", klass, customer, deadline)
-
-    def sent(self, node: str, number: int, machine: Machine, plan: PlanForm, now: float) -> None:
-        asked = self.open.get((node, number))
-        if asked is None:
-            return self.breach("one answer", now, f"{number} at {node} goes on after its answer")
-        if any(a.out for a in asked.attempts):
-            self.breach("one at a time", now, f"{asked.name} goes to {machine.name} with another out")
-        self.check_repeat(asked, machine, now)
-        since = self.drained.get((node, machine.name), now)
-        if now - since > self.stop_within + SLACK:
-            self.breach("drain", now, f"{asked.name} goes to {machine.name}, {now - since:.2f} s late")
-        if not asked.attempts and plan.ceiling > 0.0:
-            self.draw(asked, plan, now)
-        asked.attempts.append(Sent(machine, now))
+                self.drained_since.setdefault((gateway, backend.address), now)
+
+    def on_request(
+        self, gateway: str, number: int, request_class: ClassConfig, customer: str, deadline: float
+    ) -> None:
+        self.pending[gateway, number] = AcceptedRequest(
+            f"{number} at {gateway}", request_class, customer, deadline)
+
+    def on_sent(self, gateway: str, number: int, machine: Machine, plan: PlanConfig, now: float) -> None:
+        request = self.pending.get((gateway, number))
+        if request is None:
+            return self.breach("one answer", now, f"{number} at {gateway} goes on after its answer")
+        if any(a.in_flight for a in request.attempts):
+            self.breach("one at a time", now, f"{request.name} goes to {machine.name} with another out")
+        self.check_repeat(request, machine, now)
+        since = self.drained_since.get((gateway, machine.name), now)
+        if now - since > self.stop_within + TIME_SLACK:
+            self.breach("drain", now, f"{request.name} goes to {machine.name}, {now - since:.2f} s late")
+        if not request.attempts and plan.ceiling > 0.0:
+            self.check_ceiling(request, plan, now)
+        request.attempts.append(SentAttempt(machine, now))
         return None
 
-    def check_repeat(self, asked: Taken, machine: Machine, now: float) -> None:
-        first, klass = asked.risky(), asked.klass
-        if first is None or klass.semantics == "repeatable":
+    def check_repeat(self, request: AcceptedRequest, machine: Machine, now: float) -> None:
+        """Checks that a request that may have run is sent only where a repetition is harmless."""
+        first, request_class = request.first_possibly_run(), request.request_class
+        if first is None or request_class.semantics == "repeatable":
             return
-        if klass.semantics == "once":
-            where = first.machine.name
-            self.breach("no repeat", now, f"{asked.name} goes to {machine.name} and may have run at {where}")
-        elif group(klass, first.machine) != group(klass, machine) or now - first.at > klass.memory + SLACK:
-            self.breach("no repeat", now, f"{asked.name} goes to {machine.name}, too far or too late")
-
-    def draw(self, asked: Taken, plan: PlanForm, now: float) -> None:
-        """The second store of a customer, shared by all gateways, which may fall a little below nought."""
+        if request_class.semantics == "once":
+            earlier_machine = first.machine.name
+            self.breach("no repeat", now,
+                        f"{request.name} goes to {machine.name} and may have run at {earlier_machine}")
+        elif (dedup_group(request_class, first.machine) != dedup_group(request_class, machine)
+              or now - first.sent_at > request_class.memory + TIME_SLACK):
+            self.breach("no repeat", now, f"{request.name} goes to {machine.name}, too far or too late")
+
+    def check_ceiling(self, request: AcceptedRequest, plan: PlanConfig, now: float) -> None:
+        """Takes a unit from the customer's ceiling over all gateways, which may fall slightly below zero."""
         rate, burst = plan.ceiling * plan.rate, plan.ceiling * plan.burst
-        store = self.ceilings.setdefault(asked.customer, Store(rate, burst, burst, now))
-        store.refill(now)
-        store.level -= 1.0
-        if store.level < -max(LEAST_SLACK, SLACK_PART * burst):
-            self.breach("ceiling", now, f"{asked.name} of customer {asked.customer}: at {store.level:.1f}")
-
-    def ended(self, node: str, number: int, place: int, outcome: Outcome) -> None:
-        asked = self.open.get((node, number))
-        if asked is not None:
-            asked.attempts[place].out = False
-            asked.attempts[place].never_ran = outcome.never_ran
-
-    def answered(self, node: str, number: int, outcome: Outcome, now: float) -> None:
-        asked = self.open.pop((node, number), None)
-        if asked is None:
-            return self.breach("one answer", now, f"{number} at {node} is answered again, or was never taken")
-        risky = asked.risky()
-        safe = asked.klass.semantics == "repeatable" or group(asked.klass, None) == ""
-        if outcome is Outcome.REJECTED and risky is not None and not safe:
-            self.breach("no repeat", now, f"{asked.name} is refused and may have run at {risky.machine.name}")
-        if now > asked.deadline + SLACK:
-            self.breach("one answer", now, f"{asked.name} is answered {now - asked.deadline:.2f} s late")
+        bucket = self.ceilings.setdefault(request.customer, TokenBucket(rate, burst, burst, now))
+        bucket.refill(now)
+        bucket.level -= 1.0
+        if bucket.level < -max(MIN_CEILING_SLACK, CEILING_SLACK_SHARE * burst):
+            self.breach(
+                "ceiling", now, f"{request.name} of customer {request.customer}: at {bucket.level:.1f}")
+
+    def on_attempt_ended(self, gateway: str, number: int, index: int, outcome: Outcome) -> None:
+        request = self.pending.get((gateway, number))
+        if request is not None:
+            request.attempts[index].in_flight = False
+            request.attempts[index].never_ran = outcome.never_ran
+
+    def on_answer(self, gateway: str, number: int, outcome: Outcome, now: float) -> None:
+        request = self.pending.pop((gateway, number), None)
+        if request is None:
+            return self.breach(
+                "one answer", now, f"{number} at {gateway} is answered again, or was never taken")
+        first = request.first_possibly_run()
+        safe = (request.request_class.semantics == "repeatable"
+                or dedup_group(request.request_class, None) == "")
+        if outcome is Outcome.REJECTED and first is not None and not safe:
+            self.breach(
+                "no repeat", now, f"{request.name} is refused and may have run at {first.machine.name}")
+        if now > request.deadline + TIME_SLACK:
+            self.breach("one answer", now, f"{request.name} is answered {now - request.deadline:.2f} s late")
         return None
 
-    def left(self, node: str, number: int) -> None:
-        """Its client has gone: nothing is owed any more."""
-        self.open.pop((node, number), None)
+    def on_client_disconnected(self, gateway: str, number: int) -> None:
+        """The client of that request has disconnected and needs no answer."""
+        self.pending.pop((gateway, number), None)
+
+    def on_gateway_died(self, gateway: str) -> None:
+        self.pending = {key: request for key, request in self.pending.items() if key[0] != gateway}
+
+    def on_backend_collapsed(self, machine: Machine, informed: int, total: int, now: float) -> None:
+        """A cold backend has collapsed.
 
-    def died(self, node: str) -> None:
-        self.open = {key: asked for key, asked in self.open.items() if key[0] != node}
+        `informed`: how many of the `total` recent requests came from gateways notified of its start.
+        """
+        if informed >= INFORMED_SHARE * total:
+            self.breach("fail-back", now, f"{machine.name} fell, {informed} of {total} from those who knew")
 
-    def fell(self, machine: Machine, told: int, all_work: int, now: float) -> None:
-        """A cold backend has fallen over; `told`: of its work, what came from those who knew its start."""
-        if told >= TOLD_PART * all_work:
-            self.breach("fail-back", now, f"{machine.name} fell, {told} of {all_work} from those who knew")
+    def check_unanswered(self, now: float) -> None:
+        """Reports the requests whose deadline has passed without an answer."""
+        for request in self.pending.values():
+            if now > request.deadline + TIME_SLACK:
+                self.breach("one answer", now, f"{request.name} was never answered")
 
-    def end(self, now: float) -> None:
-        """What has had no answer by now is lost."""
-        for asked in self.open.values():
-            if now > asked.deadline + SLACK:
-                self.breach("one answer", now, f"{asked.name} was never answered")
 
+def dedup_group(request_class: ClassConfig, machine: Machine | None) -> str | int:
+    """The group of backends among which repetitions of a keyed request are dropped; "" if that is all.
 
-def group(klass: Class, machine: Machine | None) -> str | int:
-    """The backends among which repeats of a keyed request are dropped; without one, whether that is all."""
-    if klass.semantics == "by_key" and klass.scope == "all":
+    Without a machine, some other value if it is not all.
+    """
+    if request_class.semantics == "by_key" and request_class.scope == "all":
         return ""
     if machine is None:
-        return klass.semantics
-    return machine.zone if klass.scope == "zone" else machine.cell
+        return request_class.semantics
+    return machine.zone if request_class.scope == "zone" else machine.cell
--- a/embersill/lab/scale/children.py
+++ b/embersill/lab/scale/children.py
@@ -19,7 +19,7 @@
 from embersill.lab.scale.clock import Usage, read_usage
 from embersill.lab.scale.lines import MOST_LINE
 from embersill.lab.scale.messages import Answer, Message, decode_answer, encode_line
-from embersill.lab.versions import HERE
+from embersill.lab.versions import REPO_ROOT
 
 SET_PARENT_DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG of prctl(2)
 LOG_POLL_SECONDS = 0.02
@@ -143,7 +143,7 @@
         log = self.folder / f"{name}.log"
         with log.open("wb") as errors:
             process = await asyncio.create_subprocess_exec(
-                *arguments, cwd=HERE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
+                *arguments, cwd=REPO_ROOT, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
                 stderr=errors, limit=MOST_LINE, start_new_session=True, preexec_fn=die_with_parent,
                 env={**inherited_environment(), **(environment or {})})
         child = Child(name, process, log)
--- a/embersill/lab/scale/clients_process.py
+++ b/embersill/lab/scale/clients_process.py
@@ -17,7 +17,7 @@
 import hiredis
 import uvloop
 
-from embersill.lab.peers import HOST, Peer, message, read_message
+from embersill.lab.peers import HOST, Peer, response_bytes, read_message
 from embersill.lab.scale.deployment import BUDGET_SECONDS, KEYED, Deployment, DrawnRequest, customer_name
 from embersill.lab.scale.hollow import RequestSource
 from embersill.lab.scale.lines import OrderStream, send_answer
@@ -58,11 +58,11 @@
             began = time.monotonic()
             found = WORK.search(first)
             if found is None:
-                writer.write(message(400))
+                writer.write(response_bytes(400))
                 continue
             self.log.note(int(found[1], 16), True)
             await asyncio.sleep(int(found[2]) / 1e6)
-            writer.write(message(200, b"%.6f" % (time.monotonic() - began)))
+            writer.write(response_bytes(200, b"%.6f" % (time.monotonic() - began)))
 
 
 class CallCounter:
--- a/embersill/lab/scale/real_gateways.py
+++ b/embersill/lab/scale/real_gateways.py
@@ -12,7 +12,7 @@
 from embersill.lab.scale.children import Child, Children, ChildNotStarted
 from embersill.lab.scale.deployment import Deployment
 from embersill.lab.scale.messages import RealGatewayPorts
-from embersill.lab.versions import HERE, deployed
+from embersill.lab.versions import REPO_ROOT, read_deploy_file
 
 READY_POLL_SECONDS = 0.05
 MEMORY_MB, SOCKETS = 192, 1024  # as on the platform
@@ -49,7 +49,7 @@
     home.mkdir()
     path = home / "config.json"
     path.write_text(json.dumps(configuration(deployment, ports, seed, aggregator_list)))
-    command = os.environ.get(RUN_VARIABLE) or str(deployed(HERE)["run"])
+    command = os.environ.get(RUN_VARIABLE) or str(read_deploy_file(REPO_ROOT)["run"])
     return await children.start(
         f"gateway-{ports.number}", ["/bin/sh", "-c", command],
         {"RELAY_CONFIG": str(path), "TMPDIR": str(home)})
--- a/embersill/lab/scenario.py
+++ b/embersill/lab/scenario.py
@@ -1,4 +1,7 @@
-"""The form of a scenario: a fleet, its load, and what goes wrong when, in TOML. All times are seconds."""
+"""The scenario file format, in TOML: a fleet, its load, and faults. All times are in seconds.
+
+Class attributes are the keys of the file.
+"""
 
 from __future__ import annotations
 
@@ -14,247 +17,260 @@
 from embersill.settings import read_pool
 
 Positive = Annotated[float, Meta(gt=0.0)]
-Some = Annotated[float, Meta(ge=0.0)]
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
-Number = Annotated[int, Meta(ge=1, le=5000)]
-MOST_PEERS, LONGEST = 64, 600.0  # gateways or backends, and seconds, that are played with real processes
+NonNegative = Annotated[float, Meta(ge=0.0)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
+Count = Annotated[int, Meta(ge=1, le=5000)]
+# limits of a run with real processes: gateways and backends each, and its length in seconds
+MAX_REAL_PEERS, MAX_REAL_SECONDS = 64, 600.0
 
 
 class BadScenario(Exception):
-    """What is wrong with a scenario, and where, in one line."""
+    """An invalid scenario; the message is one line that names the error and its place."""
 
 
-class Form(msgspec.Struct, forbid_unknown_fields=True):
-    """One table of the file."""
+class ConfigTable(msgspec.Struct, forbid_unknown_fields=True):
+    """One table of a scenario file; unknown keys are errors."""
 
 
-class Fleet(Form):
-    gateways: Number
-    backends: Number
+class Fleet(ConfigTable):
+    gateways: Count
+    backends: Count
     zones: Annotated[tuple[str, ...], Meta(min_length=1, max_length=26)] = ("a",)
-    cell_size: Number = 6
-    regions: dict[str, str] = {}  # of zones; those that are not named are in one together
-
-
-class BackendForm(Form):
-    """A machine: `cores` at work, at most `slots` requests on them at a time, the rest in line."""
-
-    cores: Number = 3
-    speed: Positive = 1.0  # of a core, against the work that a class states
-    speed_spread: Part = 0.0  # of it, either way, by which backends differ
-    slots: Number = 12
-    queue: Number = 60
-    connections: Number = 1200  # more are refused
-    handshake_s: Some = 0.001  # of its cores, for each new connection
-    cold_from: Positive = 0.3  # of its speed, just after a start
-    warm_within: Positive = 12.0
-    fall_multiple: Positive = 2.0  # of its capacity over `overload_for`, at which a cold one falls over
-    overload_for: Positive = 2.0
-
-
-class Net(Form):
-    """One way, in seconds; each message takes up to `jitter` of it more."""
-
-    client: Some = 0.0007
-    same: Some = 0.0002
-    cross: Some = 0.002
-    far: Some = 0.03  # between regions
-    jitter: Part = 0.2
+    cell_size: Count = 6  # backends of a cell in each zone
+    regions: dict[str, str] = {}  # by zone; zones without an entry are in one region together
+
+
+class BackendConfig(ConfigTable):
+    """A backend's machine: at most `slots` requests share its `cores`, up to `queue` others wait."""
+
+    cores: Count = 3
+    speed: Positive = 1.0  # of a core: seconds of a class's work done per second
+    speed_spread: Fraction = 0.0  # largest deviation of a backend's speed, as a share of it
+    slots: Count = 12
+    queue: Count = 60
+    connections: Count = 1200  # more are refused
+    handshake_s: NonNegative = 0.001  # seconds of one core for each new connection
+    cold_from: Positive = 0.3  # share of its speed just after a start
+    warm_within: Positive = 12.0  # seconds from a start until full speed
+    fall_multiple: Positive = 2.0  # a cold backend collapses under this multiple of its capacity, sustained
+    overload_for: Positive = 2.0  # for this long
+
+
+class NetworkConfig(ConfigTable):
+    """One-way delays; each message takes up to the fraction `jitter` longer.
+
+    `client`: between client and gateway; `same`: within a zone; `cross`: between zones of a region.
+    """
+
+    client: NonNegative = 0.0007
+    same: NonNegative = 0.0002
+    cross: NonNegative = 0.002
+    far: NonNegative = 0.03  # between regions
+    jitter: Fraction = 0.2
     dial_timeout: Positive = 0.25
     keepalive: Positive = 15.0
 
 
-class Counter(Form):
-    per_s: Positive = 250.0  # calls that each part serves
-    parts: Number = 2
-    delay: Some = 0.001
-    line: Number = 50  # calls waiting at a part, beyond which one is turned away
-    patience: Positive = 0.03
+class CounterConfig(ConfigTable):
+    per_s: Positive = 250.0  # calls per second that each part serves
+    parts: Count = 2
+    delay: NonNegative = 0.001  # of a call and its answer together
+    line: Count = 50  # calls queued at a part, beyond which a call is rejected
+    patience: Positive = 0.03  # timeout of a call
+
 
+class Discovery(ConfigTable):
+    lag: NonNegative = 1.0  # mean seconds until a gateway receives a change; at most twice this
+    stop_within: Positive = 1.0  # seconds after that by which sends to a drained backend must stop
 
-class Discovery(Form):
-    lag: Some = 1.0  # seconds until a gateway hears of a change, drawn up to twice this
-    stop_within: Positive = 1.0  # seconds from then in which sends to a drained backend must end
 
+class ClassConfig(ConfigTable, kw_only=True):
+    """A request class; `share` of the requests belong to it."""
 
-class Class(Form, kw_only=True):
     name: str
-    share: Part
-    work: Positive  # seconds of one core
-    spread: Some = 1.0  # standard deviation of the work, in its mean
+    share: Fraction
+    work: Positive  # mean, in seconds of one core
+    spread: NonNegative = 1.0  # standard deviation of the work, as a multiple of its mean
     aim: Positive
     deadline: Positive
-    worth: Some = 1.0
-    late_share: Part = 0.0
+    worth: NonNegative = 1.0
+    late_share: Fraction = 0.0
     semantics: Literal["repeatable", "by_key", "once"] = "repeatable"
     scope: Literal["all", "zone", "cell"] = "all"
-    memory: Some = 10.0
+    memory: NonNegative = 10.0
 
 
-class PlanForm(Form, kw_only=True):
-    """`share` of the load is this plan's; a customer asks `use` of its rate, `heavy_use` if it is heavy."""
+class PlanConfig(ConfigTable, kw_only=True):
+    """A plan, with `share` of the load. Its customers request `use` of its rate, heavy ones `heavy_use`."""
 
     name: str
-    share: Part
+    share: Fraction
     rate: Positive
     burst: Positive
-    ceiling: Some = 0.0  # times rate and burst; 0: none
-    price: Some = 1.0
-    over_cost: Some = 0.5
-    spread: Part = 1.0  # of the gateways that a customer's requests come through
+    ceiling: NonNegative = 0.0  # multiple of rate and burst; 0: none
+    price: NonNegative = 1.0  # factor of a request's worth
+    over_cost: NonNegative = 0.5  # cost of a request over the quota, as a multiple of its worth
+    spread: Fraction = 1.0  # share of the gateways that a customer's requests come through
     use: Positive = 0.4
-    heavy: Part = 0.1  # of the customers
+    heavy: Fraction = 0.1  # share of the customers
     heavy_use: Positive = 3.0
 
 
-class Load(Form):
-    """Load inside the quotas, as a share of what the backends can do."""
+class Load(ConfigTable):
+    """The clients' requests and their behaviour."""
 
-    inside: Positive = 0.6
-    skew: Some = 0.5  # how unevenly a customer's requests come through its gateways
+    inside: Positive = 0.6  # load inside quotas, as a share of the backends' capacity
+    skew: NonNegative = 0.5  # exponent of the uneven spread of a customer's requests over its gateways
     retries: Annotated[int, Meta(ge=0, le=10)] = 2
-    backoff: Positive = 0.3
-    honour: Part = 0.6  # of the clients that come back as a Retry-After says
-    impatient: Part = 0.0  # of the tries, whose clients leave early and don't come back
-    patience: Positive = 0.5  # seconds until then, on average
-    broken: Some = 0.0  # peers a second at each gateway that send no proper request; in real mode only
-
-
-class Fault(Form, kw_only=True):
-    """What goes wrong: at `at`, for `lasts` seconds, at a `part` of the fleet that is drawn, or in a `zone`.
-
-    kill: processes end, and are back cold. hang: taken and not answered. slow: `factor` times as long. drain:
-    the list says so. release: each is drained, ended and started again, one after the other over `lasts`.
-    reset: connections break under their requests. cut: nothing passes between the zone and the others.
-    lost: a `part` of all answers. counter: silent, and back with no counts if it is `empty`. crowded: the
-    counter takes `factor` times as long. list: news wait until the end. clock: that of a gateway's machine is
-    `step` seconds off, for processes that start meanwhile. scan: customers that ask once add a `part` of all
-    traffic.
+    backoff: Positive = 0.3  # before the first retry; doubles with each
+    honour: Fraction = 0.6  # share of refusals after which the client waits for the Retry-After
+    impatient: Fraction = 0.0  # share of the tries whose clients disconnect early and don't retry
+    patience: Positive = 0.5  # mean time until they disconnect
+    broken: NonNegative = 0.0  # malformed inputs per second at each gateway; in real mode only
+
+
+class Fault(ConfigTable, kw_only=True):
+    """A fault from `at`, for `lasts` seconds, at a random `part` of the fleet or in a `zone` or `region`.
+
+    kill: processes end and start again, cold. hang: requests are accepted and not answered. slow: work takes
+    `factor` times as long. drain: backends are listed as draining. release: each backend is drained, ended
+    and started again, one after the other over `lasts`. reset: connections are reset under their requests.
+    cut: nothing passes between the zone and the others. lost: a `part` of all answers is lost. counter: the
+    counter does not answer, and afterwards has lost its counts if `empty`. crowded: the counter takes
+    `factor` times as long. list: list changes are delivered after the fault. clock: the clocks of gateways'
+    machines are `step` seconds ahead for processes that start meanwhile. scan: customers with a single
+    request each add a `part` of all traffic.
     """
 
     kind: Literal["kill", "hang", "slow", "drain", "release", "reset", "cut", "lost", "counter", "crowded",
                   "list", "clock", "scan"]
-    at: Some
+    at: NonNegative
     lasts: Positive
-    part: Part = 0.1
+    part: Fraction = 0.1
     zone: str = ""
     of: Literal["gateways", "backends"] = "backends"
-    region: str = ""  # or in all zones of one
+    region: str = ""  # the fault is in all its zones
     factor: Positive = 5.0
     empty: bool = False
     step: float = 5.0
 
 
-class Scenario(Form, kw_only=True):
+class Scenario(ConfigTable, kw_only=True):
     name: str
     seconds: Annotated[float, Meta(gt=0.0, le=86_400.0)]
     fleet: Fleet
     load: Load
-    classes: Annotated[list[Class], Meta(min_length=1)]
-    plans: Annotated[list[PlanForm], Meta(min_length=1)]
-    backend: BackendForm = field(default_factory=BackendForm)
-    net: Net = field(default_factory=Net)
-    counter: Counter = field(default_factory=Counter)
+    classes: Annotated[list[ClassConfig], Meta(min_length=1)]
+    plans: Annotated[list[PlanConfig], Meta(min_length=1)]
+    backend: BackendConfig = field(default_factory=BackendConfig)
+    net: NetworkConfig = field(default_factory=NetworkConfig)
+    counter: CounterConfig = field(default_factory=CounterConfig)
     discovery: Discovery = field(default_factory=Discovery)
     faults: list[Fault] = []
-    pool: dict[str, Any] = {}  # as in a gateway's configuration
+    pool: dict[str, Any] = {}  # connection pool settings, as in a gateway's configuration
 
 
-def load(path: pathlib.Path, above: tuple[pathlib.Path, ...] = ()) -> dict[str, Any]:
-    """What the file says, over what the one says that it is `like`. Tables are merged, lists replaced.
+def load(path: pathlib.Path, including: tuple[pathlib.Path, ...] = ()) -> dict[str, Any]:
+    """The file's table, merged over that of the file named by its `like`. Tables are merged, lists replaced.
 
-    BadScenario where it is no scenario: it names file and key. `above`: those that are like this one.
+    `including`: the files whose `like` led to this one. Raises BadScenario, which names file and key, if the
+    file cannot be read or is no valid scenario.
     """
     try:
         with path.open("rb") as file:
-            told = tomllib.load(file)
-        like = told.pop("like", None)
+            table = tomllib.load(file)
+        like = table.pop("like", None)
         if like is not None:
             base = path.with_name(f"{like}.toml")
-            if base in (*above, path):
+            if base in (*including, path):
                 raise BadScenario("it is like itself - at `$.like`")
-            told = merged(load(base, (*above, path)), told)
-        build_scenario(told)
+            table = merge_tables(load(base, (*including, path)), table)
+        build_scenario(table)
     except OSError as error:
         raise BadScenario(f"{path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, BadScenario) as error:
         raise BadScenario(f"{path}: {error}") from error
-    return told
+    return table
 
 
-def merged(base: dict[str, Any], over: dict[str, Any]) -> dict[str, Any]:
-    made = dict(base)
-    for key, value in over.items():
+def merge_tables(base: dict[str, Any], overriding: dict[str, Any]) -> dict[str, Any]:
+    """A copy of `base` with the values of `overriding`, recursively."""
+    result = dict(base)
+    for key, value in overriding.items():
         both = isinstance(value, dict) and isinstance(base.get(key), dict)
-        made[key] = merged(base[key], value) if both else value
-    return made
+        result[key] = merge_tables(base[key], value) if both else value
+    return result
 
 
-def change(told: dict[str, Any], setting: str) -> dict[str, Any]:
-    """A scenario with `KEY=VALUE` set, where the key leads through tables by dots: `classes.view.work=0.3`.
+def apply_setting(table: dict[str, Any], setting: str) -> dict[str, Any]:
+    """A copy of the scenario with `KEY=VALUE` set; dots separate the keys of nested tables.
 
-    What stands in a list goes by its name, or by its number from 0. The value is TOML's, or else a word.
-    BadScenario where the way leads nowhere; what is wrong with the value is told when it is built.
+    An entry of a list is named by its `name` or its index from 0: `classes.view.work=0.3`. A value that is
+    not valid TOML is taken as a string. Raises BadScenario if there is no such place; the value is checked
+    by `build_scenario`.
     """
     path, equals, text = setting.partition("=")
-    *way, last = path.strip().split(".")
+    *path_keys, last = path.strip().split(".")
     if not equals or not last:
         raise BadScenario(f"{setting!r} is no KEY=VALUE")
     try:
         value = tomllib.loads(f"x = {text}")["x"]
     except tomllib.TOMLDecodeError:
         value = text.strip()
-    changed = copy.deepcopy(told)
-    at: Any = changed
-    for step in way:
-        at = at.setdefault(step, {}) if isinstance(at, dict) else member(at, step, path)
-    if not isinstance(at, dict):
+    changed = copy.deepcopy(table)
+    current: Any = changed
+    for key in path_keys:
+        current = (current.setdefault(key, {}) if isinstance(current, dict)
+                   else find_list_entry(current, key, path))
+    if not isinstance(current, dict):
         raise BadScenario(f"there is no table at {path!r}")
-    at[last] = value
+    current[last] = value
     return changed
 
 
-def member(listed: Any, step: str, path: str) -> Any:
-    if isinstance(listed, list):
-        for n, entry in enumerate(listed):
-            if step == str(n) or isinstance(entry, dict) and entry.get("name") == step:
+def find_list_entry(entries: Any, key: str, path: str) -> Any:
+    """The entry with that name or index. Raises BadScenario if there is none."""
+    if isinstance(entries, list):
+        for n, entry in enumerate(entries):
+            if key == str(n) or isinstance(entry, dict) and entry.get("name") == key:
                 return entry
-    raise BadScenario(f"there is no {step!r} on the way to {path!r}")
+    raise BadScenario(f"there is no {key!r} on the way to {path!r}")
 
 
-def build_scenario(told: dict[str, Any]) -> Scenario:
+def build_scenario(table: dict[str, Any]) -> Scenario:
+    """The checked scenario. Raises BadScenario."""
     try:
-        scenario = msgspec.convert(told, Scenario)
+        scenario = msgspec.convert(table, Scenario)
     except msgspec.ValidationError as error:
         raise BadScenario(str(error)) from error
-    check(scenario)
+    check_scenario(scenario)
     return scenario
 
 
 def pool_settings(scenario: Scenario) -> PoolSettings:
-    """BadScenario, as a gateway's start would say it."""
+    """The pool settings. Raises BadScenario with the error that a gateway would report at its start."""
     try:
         return read_pool(scenario.pool)
     except ValueError as error:
         raise BadScenario(f"{error} - at `$.pool`") from error
 
 
-def check(scenario: Scenario) -> None:
-    """What single values can't tell."""
+def check_scenario(scenario: Scenario) -> None:
+    """Raises BadScenario for values that don't fit together."""
     pool_settings(scenario)
     shares = {
         "classes": [(c.name, c.share) for c in scenario.classes],
         "plans": [(p.name, p.share) for p in scenario.plans],
     }
-    for what, named in shares.items():
+    for list_name, named in shares.items():
         if len(dict(named)) < len(named):
-            raise BadScenario(f"a name stands twice - at `$.{what}`")
+            raise BadScenario(f"a name stands twice - at `$.{list_name}`")
         total = sum(share for _, share in named)
         if not 0.999 <= total <= 1.001:
-            raise BadScenario(f"the shares add up to {total:g} and not to 1 - at `$.{what}`")
-    strange = scenario.fleet.regions.keys() - set(scenario.fleet.zones)
-    if strange:
-        raise BadScenario(f"there is no zone {min(strange)!r} - at `$.fleet.regions`")
+            raise BadScenario(f"the shares add up to {total:g} and not to 1 - at `$.{list_name}`")
+    unknown = scenario.fleet.regions.keys() - set(scenario.fleet.zones)
+    if unknown:
+        raise BadScenario(f"there is no zone {min(unknown)!r} - at `$.fleet.regions`")
     for n, fault in enumerate(scenario.faults):
         if fault.at >= scenario.seconds:
             raise BadScenario(f"at {fault.at:g} s all is over - at `$.faults[{n}].at`")
@@ -269,12 +285,12 @@
 
 
 def check_real(scenario: Scenario) -> None:
-    """BadScenario for what can't be played with real processes."""
+    """Raises BadScenario for a scenario that cannot be played with real processes."""
     fleet = scenario.fleet
-    if max(fleet.gateways, fleet.backends) > MOST_PEERS:
-        raise BadScenario(f"real gateways and backends are at most {MOST_PEERS} each - at `$.fleet`")
-    if scenario.seconds > LONGEST:
-        raise BadScenario(f"real time is at most {LONGEST:g} s - at `$.seconds`")
+    if max(fleet.gateways, fleet.backends) > MAX_REAL_PEERS:
+        raise BadScenario(f"real gateways and backends are at most {MAX_REAL_PEERS} each - at `$.fleet`")
+    if scenario.seconds > MAX_REAL_SECONDS:
+        raise BadScenario(f"real time is at most {MAX_REAL_SECONDS:g} s - at `$.seconds`")
     for n, fault in enumerate(scenario.faults):
         if fault.kind in ("cut", "clock"):
             raise BadScenario(f"no real process has {fault.kind!r} here - at `$.faults[{n}].kind`")
--- a/embersill/lab/soak/counter.py
+++ b/embersill/lab/soak/counter.py
@@ -7,7 +7,7 @@
 import time
 from enum import Enum
 
-from embersill.lab.peers import Peer, read_call, total_text
+from embersill.lab.peers import Peer, read_counter_call, counter_reply
 from embersill.lab.scale.resp import BUSY, LONGEST_LIFE_SECONDS, OK, AddCall, CounterModel
 
 LATEST = 0.3  # seconds that an answer takes at the most while the counter is slow
@@ -32,7 +32,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            words = await read_call(reader)
+            words = await read_counter_call(reader)
             if len(words) != 4:
                 writer.write(OK)
             elif self.state is CounterState.BUSY:
@@ -44,4 +44,4 @@
                 self.model.reserve(words[1])
                 total = self.model.add(AddCall(words[1], float(words[2]), life))
                 if self.state is not CounterState.SILENT and not writer.is_closing():
-                    writer.write(total_text(total))
+                    writer.write(counter_reply(total))
--- a/embersill/lab/soak/discovery_agent.py
+++ b/embersill/lab/soak/discovery_agent.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import Any
 
-from embersill.lab.peers import Peer, message, read_message, reset
+from embersill.lab.peers import Peer, response_bytes, read_message, reset
 
 ENDED = ("DRAINING", "DELETED")
 LOOK_EVERY = 0.01  # seconds between looks whether discovery is back
@@ -88,14 +88,14 @@
         """An outage of discovery: what it missed comes at its return."""
         self.faults.down = down
         if down:
-            for writer in list(self.open):
+            for writer in list(self.writers):
                 reset(writer)
         else:
             late, self.late = self.late, []
             self.hear(late)
 
     def break_watches(self) -> None:
-        for writer in list(self.open):
+        for writer in list(self.writers):
             reset(writer)
 
     def listing(self, since: int) -> dict[str, Any]:
@@ -123,7 +123,7 @@
             if self.faults.ends_watches and since:
                 return
             text = json.dumps(self.listing(since), indent=2 if self.faults.indented else None)
-            await self.write(writer, message(200, text.encode()))
+            await self.write(writer, response_bytes(200, text.encode()))
 
     async def write(self, writer: asyncio.StreamWriter, text: bytes) -> None:
         size = self.faults.piece or len(text)
--- a/embersill/lab/soak/gateway_process.py
+++ b/embersill/lab/soak/gateway_process.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from embersill.lab.peers import HOST, free_port, is_ready
-from embersill.lab.versions import HERE, deployed
+from embersill.lab.versions import REPO_ROOT, read_deploy_file
 
 READY_WITHIN = 20.0  # seconds
 
@@ -44,12 +44,12 @@
         """Starts it, and waits until it is ready; NotReady tells the last line of its log."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.write_configuration()
-        command = os.environ.get("EMBERSILL_RUN") or deployed(HERE)["run"]
+        command = os.environ.get("EMBERSILL_RUN") or read_deploy_file(REPO_ROOT)["run"]
         env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
         env |= {"RELAY_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)}
         with self.log.open("ab") as log:
             self.child = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", command, cwd=HERE, stdout=log, stderr=log, env=env | self.environment
+                "/bin/sh", "-c", command, cwd=REPO_ROOT, stdout=log, stderr=log, env=env | self.environment
             )
         try:
             async with asyncio.timeout(READY_WITHIN):
--- a/embersill/lab/world.py
+++ b/embersill/lab/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment in virtual time: the parts, what goes wrong with them, and what came of it."""
+"""A simulated deployment: gateways, backends, counter and clients, the faults injected and the results."""
 
 from __future__ import annotations
 
@@ -13,70 +13,73 @@
 from hdrh.histogram import HdrHistogram
 
 from embersill.interface import Backend, BackendList, BackendStatus, ListKind, Outcome, Request, Settings
-from embersill.lab.clock import BEGIN, Clock, Time
+from embersill.lab.clock import START_TIME, Scheduler, VirtualClock
 from embersill.lab.counter import CounterService
 from embersill.lab.customers import (
-    Arrival, Customer, arrivals, gateway_weights, make_customer, make_customers, mean_work, width_of,
+    Arrival, Customer, arrivals, gateway_weights, gateways_per_customer, make_customer, make_customers,
+    mean_work,
 )
 from embersill.lab.machine import Condition, Machine
-from embersill.lab.node import Call, Figures, Node
-from embersill.lab.network import Way, Weather
-from embersill.lab.rules import Rules
-from embersill.lab.scenario import Class, Fault, Scenario, pool_settings
+from embersill.lab.node import ClientTry, Figures, ModelGateway
+from embersill.lab.network import GatewayNetwork, NetworkConditions
+from embersill.lab.rules import RuleChecker
+from embersill.lab.scenario import ClassConfig, Fault, Scenario, pool_settings
 from embersill.settings import read_settings
 
-EARLY, SCANT = 0.1, 0.25  # as in net/driver.py: how long before its client a gateway takes it to be over
-WINDOW = 5.0  # seconds that a row of the service over time covers
-NOTICED = (1.1, 3.7)  # seconds until the front notices a dead gateway
-RESTART = 0.5  # seconds from a start until it is ready
-DRAINED = 3.0  # seconds that a release leaves a backend to finish what it has
-AGAIN = 0.5  # seconds until news that can't be told now are tried again
-STRANGERS = 1 << 32  # from where on customers are named that ask once
-MOST_LINKS = 400  # connections to backends that a gateway may have: its part of 1,024 descriptors
-FORGET_EVERY = 60.0  # seconds between clearings of what is over
+# as in net/driver.py: a gateway's deadline lies DEADLINE_MARGIN seconds, but at most MAX_MARGIN_SHARE of the
+# remaining budget, before its client's
+DEADLINE_MARGIN, MAX_MARGIN_SHARE = 0.1, 0.25
+SERVICE_WINDOW = 5.0  # seconds that one row of `service` and `over_time` covers
+FAILURE_DETECTION_TIME = (1.1, 3.7)  # seconds, shortest and longest, until clients avoid a dead gateway
+RESTART_TIME = 0.5  # seconds from the start of a process until it is ready
+DRAIN_TIME = 3.0  # seconds between the drain of a backend and its end during a release
+LIST_RETRY_INTERVAL = 0.5  # seconds between attempts to deliver a list change
+FIRST_SINGLE_REQUEST_CUSTOMER = 1 << 32  # names from here on belong to customers with a single request
+MAX_CONNECTIONS = 400  # a gateway's connections to backends: its share of 1,024 descriptors
+CLEANUP_INTERVAL = 60.0  # seconds between removals of expired counter names
 PERCENTILES = (10, 25, 50, 75, 90, 95, 99, 99.9)
-MOST_BREACHES = 20  # that a report tells one by one
-REST = 1.0  # seconds after the last deadline until the end
+MAX_REPORTED_BREACHES = 20  # listed individually in a report
+END_MARGIN = 1.0  # seconds from the last deadline to the end of the run
 
 
 @dataclass(slots=True)
-class Try:
-    """A client's request, over all of its tries."""
+class ClientRequest:
+    """A client's request with all its tries; each try is one HTTP request to a gateway."""
 
     customer: Customer
-    klass: Class
-    work: float
-    began: float
-    covered: bool = False  # the quota held its unit when it was last sent on
+    request_class: ClassConfig
+    work: float  # seconds of one core
+    started_at: float
+    covered_by_quota: bool = False  # whether the quota held its unit when a gateway last sent it to a backend
     tries: int = 0
-    done: bool = False
+    ended: bool = False
 
-    def left(self, now: float) -> float:
-        return self.began + self.klass.deadline - now
+    def remaining_time(self, now: float) -> float:
+        return self.started_at + self.request_class.deadline - now
 
     def worth(self) -> float:
-        return self.klass.worth * self.customer.plan.price
+        return self.request_class.worth * self.customer.plan.price
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of a run, in worth: asked inside quotas, earned inside them, lost beyond them."""
+    """The result of a run: worth requested and served inside quotas, cost of exceeding them, and counts."""
 
-    asked: float = 0.0
-    earned: float = 0.0
-    overrun: float = 0.0
-    sent_on: Tally[bool] = field(default_factory=Tally)  # tries, by whether the quota covered them
-    ends: Tally[str] = field(default_factory=Tally)  # of first tries: in time, late, refused, failed, lost
+    worth_asked: float = 0.0
+    worth_earned: float = 0.0
+    overrun_cost: float = 0.0
+    sent_by_coverage: Tally[bool] = field(default_factory=Tally)  # tries by whether the quota covered them
+    ends: Tally[str] = field(default_factory=Tally)  # requests by: in time, late, refused, failed, lost, left
     tries: int = 0
-    rows: dict[int, list[float]] = field(default_factory=dict)  # by window: worth asked, worth earned
+    service_windows: dict[int, list[float]] = field(default_factory=dict)  # by window: worth asked and earned
     latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 120_000, 3))  # milliseconds
 
 
-def told_settings(scenario: Scenario, me: int, zone: str) -> dict[str, Any]:
-    """What a gateway is told, in the platform's form and its milliseconds."""
-    form, patience = scenario.backend, 1000.0 * scenario.counter.patience
+def platform_settings(scenario: Scenario, gateway_index: int, zone: str) -> dict[str, Any]:
+    """A gateway's settings in the platform's format, whose durations are milliseconds."""
+    backend, counter_timeout = scenario.backend, 1000.0 * scenario.counter.patience
     return {
-        "me": me, "balancers": scenario.fleet.gateways, "zone": zone, "membership_mode": "pushed",
+        "me": gateway_index, "balancers": scenario.fleet.gateways, "zone": zone, "membership_mode": "pushed",
         "services": [
             {"name": c.name, "semantics": c.semantics, "dedup_scope": c.scope,
              "memory_span": 1000.0 * c.memory, "aim": 1000.0 * c.aim, "deadline": 1000.0 * c.deadline,
@@ -86,351 +89,378 @@
             {"name": p.name, "units_per_s": p.rate, "peak_units": p.burst, "concurrency": 0,
              "hard_rate": p.ceiling * p.rate, "cap_depth": p.ceiling * p.burst, "value_factor": p.price,
              "extra_worth": 0.0, "overrun_cost": p.over_cost} for p in scenario.plans],
-        "domain": {"counter": True, "count_limit": patience, "count_fee": 0.01, "max_units": 1.0,
+        "domain": {"counter": True, "count_limit": counter_timeout, "count_fee": 0.01, "max_units": 1.0,
                    "post_paid": False},
         "limits": {"cancel": True, "may_probe": False, "second_copies": False, "max_attempts": 4,
                    "max_retry_after": 500.0, "dial_timeout": 1000.0 * scenario.net.dial_timeout,
                    "keepalive": 1000.0 * scenario.net.keepalive},
-        "rules": {"ask_every": 10_000.0, "cold_from": form.cold_from,
-                  "warm_within": 1000.0 * form.warm_within, "fall_multiple": form.fall_multiple,
-                  "overload_for": 1000.0 * form.overload_for},
+        "rules": {"ask_every": 10_000.0, "cold_from": backend.cold_from,
+                  "warm_within": 1000.0 * backend.warm_within, "fall_multiple": backend.fall_multiple,
+                  "overload_for": 1000.0 * backend.overload_for},
         "report": {"fields": []},
     }
 
 
-def settings_for(scenario: Scenario, me: int, zone: str) -> Settings:
-    return replace(read_settings(told_settings(scenario, me, zone)), pool=pool_settings(scenario))
+def gateway_settings(scenario: Scenario, gateway_index: int, zone: str) -> Settings:
+    """The same settings as the gateway's decisions take them."""
+    return replace(
+        read_settings(platform_settings(scenario, gateway_index, zone)), pool=pool_settings(scenario))
 
 
 class GatewayProcess(Protocol):
-    """A process of a gateway, the model's or a real one."""
+    """One process of a gateway, either a `ModelGateway` or a `RealGateway`."""
 
     name: str
     alive: bool
-    way: Way
+    network: GatewayNetwork
 
-    def number(self) -> int: ...
+    def next_number(self) -> int: ...
 
-    def take(self, request: Request, call: Call) -> None: ...
+    def accept(self, request: Request, client_try: ClientTry) -> None: ...
 
-    def leave(self, number: int) -> None: ...
+    def disconnect_client(self, number: int) -> None: ...
 
-    def hear(self, event: BackendList) -> None: ...
+    def receive_list(self, event: BackendList) -> None: ...
 
-    def break_links(self, machine: Machine) -> None: ...
+    def reset_connections(self, machine: Machine) -> None: ...
 
-    def die(self) -> list[Call]: ...
+    def kill(self) -> list[ClientTry]: ...
 
     def figures(self) -> Figures: ...
 
 
 class World:
-    """All parts, made from a scenario and a seed: in virtual time both give the same to the last byte."""
+    """A deployment built from a scenario and a seed.
 
-    def __init__(self, scenario: Scenario, seed: int, clock: Time | None = None) -> None:
+    In virtual time, the same scenario and seed give the same report byte for byte.
+    """
+
+    def __init__(self, scenario: Scenario, seed: int, clock: Scheduler | None = None) -> None:
         self.scenario, self.seed = scenario, seed
-        self.clock: Time = clock or Clock(BEGIN)
-        self.origin = self.clock.now  # when the run begins
-        # a generator for each part: more draws by one shift no other's
-        self.load, self.habit, self.chaos, self.parts = map(
+        self.clock: Scheduler = clock or VirtualClock(START_TIME)
+        self.origin = self.clock.now  # start of the run
+        # separate generators, so that more draws by one part don't shift the values of another
+        self.load_rng, self.client_rng, self.fault_rng, self.setup_rng = map(
             np.random.default_rng, np.random.SeedSequence(seed).spawn(4))
         self.counter = CounterService(self.clock, scenario.counter, scenario.fleet.zones[0])
-        self.rules, self.weather = Rules(scenario.discovery.stop_within), Weather()
-        self.leaving: set[str] = set()  # backends that the list shows as draining
+        self.rules, self.conditions = RuleChecker(scenario.discovery.stop_within), NetworkConditions()
+        self.draining: set[str] = set()  # backends that are listed as draining
         self.machines = self.make_machines()
-        self.seeds = [int(n) for n in self.parts.integers(0, 2**62, scenario.fleet.gateways)]
+        self.seeds = [int(n) for n in self.setup_rng.integers(0, 2**62, scenario.fleet.gateways)]
         self.starts = Tally[int]()
-        self.skews: dict[int, float] = {}  # seconds that the clocks of gateways' machines are ahead
-        self.nodes = [self.start(n) for n in range(scenario.fleet.gateways)]
-        self.heard_dead = [0.0] * len(self.nodes)  # from when the front knows that one is dead
+        self.clock_skews: dict[int, float] = {}  # by gateway: seconds that its machine's clock is ahead
+        self.gateways = [self.start_gateway(n) for n in range(scenario.fleet.gateways)]
+        self.known_dead_at = [0.0] * len(self.gateways)  # clients avoid a dead gateway from then on
         capacity = sum(m.capacity() for m in self.machines.values())
-        self.customers = make_customers(scenario, capacity, self.load)
-        self.weights = {w: gateway_weights(w, scenario.load.skew) for w in {c.width for c in self.customers}}
-        self.arrivals = arrivals(scenario, self.customers, self.load)
+        self.customers = make_customers(scenario, capacity, self.load_rng)
+        self.weights = {n: gateway_weights(n, scenario.load.skew)
+                        for n in {c.gateway_count for c in self.customers}}
+        self.arrivals = arrivals(scenario, self.customers, self.load_rng)
         self.result = Result()
-        self.old: list[GatewayProcess] = []
+        self.ended_gateways: list[GatewayProcess] = []
         self.over_time: list[list[float]] = []
-        self.sampled = (0, 0)
-        self.strangers = 0
+        self.last_sample = (0, 0)
+        self.single_request_customers = 0
 
     def make_machines(self) -> dict[str, Machine]:
-        fleet, form = self.scenario.fleet, self.scenario.backend
+        fleet, config = self.scenario.fleet, self.scenario.backend
         work = mean_work(self.scenario.classes)
-        speeds = form.speed * (1.0 + form.speed_spread * (2.0 * self.parts.random(fleet.backends) - 1.0))
-        made = [
-            Machine(self.clock, form, f"b{n}", fleet.zones[n % len(fleet.zones)],
+        speeds = config.speed * (
+            1.0 + config.speed_spread * (2.0 * self.setup_rng.random(fleet.backends) - 1.0))
+        machines = [
+            Machine(self.clock, config, f"b{n}", fleet.zones[n % len(fleet.zones)],
                     n // (len(fleet.zones) * fleet.cell_size), float(speeds[n]), work)
             for n in range(fleet.backends)]
-        for machine in made:
-            machine.fallen = lambda m, told, work: self.rules.fell(m, told, work, self.clock.now)
-        return {m.name: m for m in made}
+        for machine in machines:
+            machine.on_collapse = lambda m, informed, total: self.rules.on_backend_collapsed(
+                m, informed, total, self.clock.now)
+        return {m.name: m for m in machines}
 
     # gateways
 
-    def start(self, me: int) -> GatewayProcess:
+    def start_gateway(self, gateway_index: int) -> GatewayProcess:
         scenario = self.scenario
-        zone = scenario.fleet.zones[me % len(scenario.fleet.zones)]
-        seed, name = self.seeds[me] + self.starts[me], f"n{me}.{self.starts[me]}"
-        self.starts[me] += 1
-        way = Way(scenario.net, zone, random.Random(seed), self.weather, scenario.fleet.regions)
-        node = self.make_node(me, name, seed, way)
-        node.hear(BackendList(ListKind.FULL, tuple(self.entry(m) for m in self.machines.values())))
-        return node
-
-    def make_node(self, me: int, name: str, seed: int, way: Way) -> GatewayProcess:
+        zone = scenario.fleet.zones[gateway_index % len(scenario.fleet.zones)]
+        seed, name = (self.seeds[gateway_index] + self.starts[gateway_index],
+                      f"n{gateway_index}.{self.starts[gateway_index]}")
+        self.starts[gateway_index] += 1
+        network = GatewayNetwork(
+            scenario.net, zone, random.Random(seed), self.conditions, scenario.fleet.regions)
+        gateway = self.make_gateway(gateway_index, name, seed, network)
+        gateway.receive_list(
+            BackendList(ListKind.FULL, tuple(self.list_entry(m) for m in self.machines.values())))
+        return gateway
+
+    def make_gateway(
+        self, gateway_index: int, name: str, seed: int, network: GatewayNetwork
+    ) -> GatewayProcess:
         scenario = self.scenario
-        return Node(name, self.clock, settings_for(scenario, me, way.zone), seed, way, self.machines,
-                    self.counter, self.rules, MOST_LINKS, scenario.net.dial_timeout, scenario.net.keepalive,
-                    self.skews.get(me, 0.0))
-
-    def entry(self, machine: Machine) -> Backend:
-        status = BackendStatus.DRAINING if machine.name in self.leaving else BackendStatus.SERVING
-        return Backend(machine.name, machine.zone, "k", machine.cell, status, 1.0, machine.started)
-
-    def kill(self, me: int, lasts: float) -> None:
-        node = self.nodes[me]
-        if not node.alive:
+        return ModelGateway(
+            name, self.clock, gateway_settings(scenario, gateway_index, network.zone), seed, network,
+            self.machines, self.counter, self.rules, MAX_CONNECTIONS, scenario.net.dial_timeout,
+            scenario.net.keepalive, self.clock_skews.get(gateway_index, 0.0))
+
+    def list_entry(self, machine: Machine) -> Backend:
+        status = BackendStatus.DRAINING if machine.name in self.draining else BackendStatus.SERVING
+        return Backend(machine.name, machine.zone, "k", machine.cell, status, 1.0, machine.started_at)
+
+    def kill_gateway(self, gateway_index: int, lasts: float) -> None:
+        """Kills its process and starts another `lasts` seconds later."""
+        gateway = self.gateways[gateway_index]
+        if not gateway.alive:
             return
-        self.old.append(node)
-        notice = float(self.chaos.uniform(*NOTICED))
-        self.heard_dead[me] = self.clock.now + notice
-        for call in node.die():
-            call.answered(Outcome.CONNECTION_LOST, 0.0)
-        self.clock.later(lasts + RESTART, lambda: self.restart(me))
+        self.ended_gateways.append(gateway)
+        detection_time = float(self.fault_rng.uniform(*FAILURE_DETECTION_TIME))
+        self.known_dead_at[gateway_index] = self.clock.now + detection_time
+        for client_try in gateway.kill():
+            client_try.on_answer(Outcome.CONNECTION_LOST, 0.0)
+        self.clock.later(lasts + RESTART_TIME, lambda: self.restart_gateway(gateway_index))
 
-    def restart(self, me: int) -> None:
-        self.nodes[me] = self.start(me)
+    def restart_gateway(self, gateway_index: int) -> None:
+        self.gateways[gateway_index] = self.start_gateway(gateway_index)
 
     # clients
 
     def play(self) -> Result:
-        """The whole run, in virtual time."""
-        assert isinstance(self.clock, Clock)
+        """Plays the complete run in virtual time."""
+        assert isinstance(self.clock, VirtualClock)
         self.begin()
-        self.clock.run(self.over_at())
-        return self.close()
+        self.clock.run(self.end_time())
+        return self.finish()
 
     def begin(self) -> None:
         self.origin = self.clock.now
         for fault in self.scenario.faults:
-            self.clock.later(fault.at, partial(self.strike, fault))
-        self.clock.later(FORGET_EVERY, self.forget)
-        self.clock.later(WINDOW, self.sample)
-        self.next_arrival()
+            self.clock.later(fault.at, partial(self.start_fault, fault))
+        self.clock.later(CLEANUP_INTERVAL, self.drop_expired)
+        self.clock.later(SERVICE_WINDOW, self.sample)
+        self.schedule_arrival()
 
-    def over_at(self) -> float:
-        return self.origin + self.scenario.seconds + max(c.deadline for c in self.scenario.classes) + REST
+    def end_time(self) -> float:
+        return (self.origin + self.scenario.seconds + max(c.deadline for c in self.scenario.classes)
+                + END_MARGIN)
 
-    def close(self) -> Result:
-        self.rules.end(self.clock.now)
+    def finish(self) -> Result:
+        self.rules.check_unanswered(self.clock.now)
         return self.result
 
     def sample(self) -> None:
-        """What came since the last look: handshakes, and calls to the counter."""
+        """Records the handshakes and counter calls since the last sample."""
         handshakes = sum(m.handshakes for m in self.machines.values())
-        calls = sum(self.counter.ends.values())
-        shaken, called = self.sampled
-        self.over_time.append([len(self.over_time) * WINDOW, handshakes - shaken, calls - called])
-        self.sampled = handshakes, calls
-        self.clock.later(WINDOW, self.sample)
-
-    def next_arrival(self) -> None:
+        calls = sum(self.counter.outcomes.values())
+        previous_handshakes, previous_calls = self.last_sample
+        self.over_time.append([
+            len(self.over_time) * SERVICE_WINDOW, handshakes - previous_handshakes, calls - previous_calls])
+        self.last_sample = handshakes, calls
+        self.clock.later(SERVICE_WINDOW, self.sample)
+
+    def schedule_arrival(self) -> None:
         arrival = next(self.arrivals, None)
         if arrival is not None:
             at = self.origin + arrival.at
-            self.clock.later(max(at - self.clock.now, 0.0), lambda: self.arrive(arrival))
+            self.clock.later(max(at - self.clock.now, 0.0), lambda: self.on_arrival(arrival))
 
-    def arrive(self, arrival: Arrival) -> None:
-        self.ask(self.customers[arrival.customer], self.scenario.classes[arrival.klass], arrival.work)
-        self.next_arrival()
+    def on_arrival(self, arrival: Arrival) -> None:
+        self.start_request(
+            self.customers[arrival.customer_index], self.scenario.classes[arrival.class_index], arrival.work)
+        self.schedule_arrival()
 
-    def ask(self, customer: Customer, klass: Class, work: float) -> None:
-        """A client's first try."""
+    def start_request(self, customer: Customer, request_class: ClassConfig, work: float) -> None:
+        """Sends a client's first try."""
         now = self.clock.now
-        asked = Try(customer, klass, work, now)
-        if customer.asked.take(now - self.origin):
-            self.result.asked += asked.worth()
-            self.row(now)[0] += asked.worth()
-        self.send(asked)
-        self.clock.later(klass.deadline, lambda: self.give_up(asked))
-
-    def row(self, when: float) -> list[float]:
-        return self.result.rows.setdefault(int((when - self.origin) // WINDOW), [0.0, 0.0])
-
-    def give_up(self, asked: Try) -> None:
-        if not asked.done:
-            self.end(asked, "lost")
-
-    def end(self, asked: Try, how: str) -> None:
-        asked.done = True
-        self.result.ends[how] += 1
-
-    def gateway_for(self, customer: Customer) -> int:
-        """One of its set that the front does not know to be dead."""
-        weights = self.weights[customer.width]
+        request = ClientRequest(customer, request_class, work, now)
+        if customer.demand_quota.try_take(now - self.origin):
+            self.result.worth_asked += request.worth()
+            self.service_window(now)[0] += request.worth()
+        self.send_try(request)
+        self.clock.later(request_class.deadline, lambda: self.time_out(request))
+
+    def service_window(self, at: float) -> list[float]:
+        """Worth asked and earned in the window that holds this time."""
+        return self.result.service_windows.setdefault(
+            int((at - self.origin) // SERVICE_WINDOW), [0.0, 0.0])
+
+    def time_out(self, request: ClientRequest) -> None:
+        if not request.ended:
+            self.end_request(request, "lost")
+
+    def end_request(self, request: ClientRequest, end: str) -> None:
+        request.ended = True
+        self.result.ends[end] += 1
+
+    def choose_gateway(self, customer: Customer) -> int:
+        """A gateway of the customer's set, not one that is known to be dead if 8 draws find another."""
+        weights = self.weights[customer.gateway_count]
         for _ in range(8):
-            place = int(np.searchsorted(weights, self.habit.random(), side="right"))
-            me = (customer.first + min(place, customer.width - 1)) % len(self.nodes)
-            if self.nodes[me].alive or self.clock.now < self.heard_dead[me]:
+            rank = int(np.searchsorted(weights, self.client_rng.random(), side="right"))
+            gateway_index = (
+                customer.first_gateway + min(rank, customer.gateway_count - 1)) % len(self.gateways)
+            if self.gateways[gateway_index].alive or self.clock.now < self.known_dead_at[gateway_index]:
                 break
-        return me
+        return gateway_index
 
-    def send(self, asked: Try) -> None:
-        if asked.done:
+    def send_try(self, request: ClientRequest) -> None:
+        if request.ended:
             return
-        asked.tries += 1
+        request.tries += 1
         self.result.tries += 1
-        node, now = self.nodes[self.gateway_for(asked.customer)], self.clock.now
-        budget = asked.left(now)
-        self.clock.later(node.way.client(), lambda: self.reach(asked, node, now + budget))
-
-    def reach(self, asked: Try, node: GatewayProcess, deadline: float) -> None:
-        if not node.alive:
-            return self.hear(asked, Outcome.NO_CONNECTION, 0.0)
-        now, customer = self.clock.now, asked.customer
+        gateway, now = self.gateways[self.choose_gateway(request.customer)], self.clock.now
+        budget = request.remaining_time(now)
+        self.clock.later(
+            gateway.network.client_delay(), lambda: self.deliver_try(request, gateway, now + budget))
+
+    def deliver_try(self, request: ClientRequest, gateway: GatewayProcess, deadline: float) -> None:
+        if not gateway.alive:
+            return self.receive_answer(request, Outcome.NO_CONNECTION, 0.0)
+        now, customer = self.clock.now, request.customer
         budget = deadline - now
-        end = now + budget - min(EARLY, SCANT * budget)
-        number = node.number()
-        way, sent_on = node.way, partial(self.sent_on, asked)
-
-        def answered(outcome: Outcome, retry_after: float) -> None:
-            self.clock.later(way.client(), lambda: self.hear(asked, outcome, retry_after))
-
-        node.take(
-            Request(number, asked.klass.name, customer.plan.name, customer.name, end, 1.0, customer.width,
-                    customer.first, asked.tries > 1),
-            Call(asked.klass, customer.plan, asked.work, deadline, end, sent_on, answered))
+        gateway_deadline = now + budget - min(DEADLINE_MARGIN, MAX_MARGIN_SHARE * budget)
+        number = gateway.next_number()
+        network, on_first_send = gateway.network, partial(self.record_first_send, request)
+
+        def on_answer(outcome: Outcome, retry_after: float) -> None:
+            self.clock.later(
+                network.client_delay(), lambda: self.receive_answer(request, outcome, retry_after))
+
+        gateway.accept(
+            Request(number, request.request_class.name, customer.plan.name, customer.name, gateway_deadline,
+                    1.0, customer.gateway_count, customer.first_gateway, request.tries > 1),
+            ClientTry(request.request_class, customer.plan, request.work, deadline, gateway_deadline,
+                      on_first_send, on_answer))
         load = self.scenario.load
-        if load.impatient > 0.0 and self.habit.random() < load.impatient:
-            patience = float(self.habit.exponential(load.patience))
-            self.clock.later(patience, lambda: self.lose_patience(asked, node, number))
+        if load.impatient > 0.0 and self.client_rng.random() < load.impatient:
+            patience = float(self.client_rng.exponential(load.patience))
+            self.clock.later(patience, lambda: self.abandon(request, gateway, number))
         return None
 
-    def lose_patience(self, asked: Try, node: GatewayProcess, number: int) -> None:
-        """Its client does not wait any longer, unless it has its answer."""
-        if not asked.done:
-            self.end(asked, "left")
-            node.leave(number)
-
-    def sent_on(self, asked: Try) -> None:
-        asked.covered = asked.customer.used.take(self.clock.now - self.origin)
-        self.result.sent_on[asked.covered] += 1
-        if not asked.covered:
-            self.result.overrun += asked.customer.plan.over_cost * asked.worth()
-
-    def hear(self, asked: Try, outcome: Outcome, retry_after: float) -> None:
-        """A try's answer has reached its client."""
-        if asked.done:
+    def abandon(self, request: ClientRequest, gateway: GatewayProcess, number: int) -> None:
+        """The client disconnects, unless its request has ended."""
+        if not request.ended:
+            self.end_request(request, "left")
+            gateway.disconnect_client(number)
+
+    def record_first_send(self, request: ClientRequest) -> None:
+        """A gateway sends a try to a backend for the first time, which takes its unit from the quota."""
+        request.covered_by_quota = request.customer.sent_quota.try_take(self.clock.now - self.origin)
+        self.result.sent_by_coverage[request.covered_by_quota] += 1
+        if not request.covered_by_quota:
+            self.result.overrun_cost += request.customer.plan.over_cost * request.worth()
+
+    def receive_answer(self, request: ClientRequest, outcome: Outcome, retry_after: float) -> None:
+        """The client receives the answer to a try and ends the request or schedules a retry."""
+        if request.ended:
             return
         now = self.clock.now
         if outcome is Outcome.SERVED:
-            return self.serve(asked, now - asked.began)
-        harmless = outcome in (Outcome.REJECTED, Outcome.NO_CONNECTION)
-        again = harmless or asked.klass.semantics == "repeatable"
-        pause = self.pause(asked, retry_after)
-        if again and asked.tries <= self.scenario.load.retries and pause < asked.left(now):
-            self.clock.later(pause, lambda: self.send(asked))
+            return self.record_served(request, now - request.started_at)
+        safe_to_retry = outcome in (Outcome.REJECTED, Outcome.NO_CONNECTION)
+        may_retry = safe_to_retry or request.request_class.semantics == "repeatable"
+        delay = self.retry_delay(request, retry_after)
+        if may_retry and request.tries <= self.scenario.load.retries and delay < request.remaining_time(now):
+            self.clock.later(delay, lambda: self.send_try(request))
         else:
-            self.end(asked, "refused" if harmless else "failed")
+            self.end_request(request, "refused" if safe_to_retry else "failed")
         return None
 
-    def pause(self, asked: Try, retry_after: float) -> float:
-        """Some clients come back when they are told to, the others after a doubling, jittered time."""
-        if retry_after > 0.0 and self.habit.random() < self.scenario.load.honour:
+    def retry_delay(self, request: ClientRequest, retry_after: float) -> float:
+        """Seconds: the Retry-After for a share of the clients, else exponential backoff with jitter."""
+        if retry_after > 0.0 and self.client_rng.random() < self.scenario.load.honour:
             return retry_after
-        return self.scenario.load.backoff * 2.0 ** (asked.tries - 1) * (0.5 + self.habit.random())
+        return self.scenario.load.backoff * 2.0 ** (request.tries - 1) * (0.5 + self.client_rng.random())
 
-    def serve(self, asked: Try, took: float) -> None:
-        in_time = took <= asked.klass.aim
-        self.end(asked, "in time" if in_time else "late")
-        self.result.latency.record_value(max(1, round(1000 * took)))
-        if asked.covered:
-            earned = asked.worth() * (1.0 if in_time else asked.klass.late_share)
-            self.result.earned += earned
-            self.row(asked.began)[1] += earned
+    def record_served(self, request: ClientRequest, elapsed: float) -> None:
+        in_time = elapsed <= request.request_class.aim
+        self.end_request(request, "in time" if in_time else "late")
+        self.result.latency.record_value(max(1, round(1000 * elapsed)))
+        if request.covered_by_quota:
+            earned = request.worth() * (1.0 if in_time else request.request_class.late_share)
+            self.result.worth_earned += earned
+            self.service_window(request.started_at)[1] += earned
 
-    # what goes wrong
+    # faults
 
-    def strike(self, fault: Fault) -> None:
+    def start_fault(self, fault: Fault) -> None:
         if fault.kind in ("counter", "crowded", "list", "cut", "lost"):
-            return self.spoil(fault)
+            return self.start_shared_fault(fault)
         if fault.kind == "scan":
             return self.scan(fault.part * sum(c.rate for c in self.customers), self.clock.now + fault.lasts)
         if fault.kind == "clock":
             return self.step_clocks(fault)
         if fault.of == "gateways":
-            for me in self.drawn(fault, [n.way.zone for n in self.nodes]):
-                self.kill(me, fault.lasts)
+            for gateway_index in self.pick_affected(fault, [n.network.zone for n in self.gateways]):
+                self.kill_gateway(gateway_index, fault.lasts)
             return None
         machines = list(self.machines.values())
-        hurt = [machines[n] for n in self.drawn(fault, [m.zone for m in machines])]
-        for n, machine in enumerate(hurt):
+        affected = [machines[n] for n in self.pick_affected(fault, [m.zone for m in machines])]
+        for n, machine in enumerate(affected):
             if fault.kind == "release":
-                self.clock.later(n / len(hurt) * fault.lasts, partial(self.replace, machine))
+                self.clock.later(n / len(affected) * fault.lasts, partial(self.release_backend, machine))
             else:
-                self.hurt(machine, fault)
+                self.start_backend_fault(machine, fault)
         return None
 
-    def drawn(self, fault: Fault, zones: list[str]) -> list[int]:
-        """Whom it strikes: all in its zone, or a part of all."""
+    def pick_affected(self, fault: Fault, zones: list[str]) -> list[int]:
+        """Indexes of the gateways or backends in the fault's zones, or of a random part of all."""
         if fault.zone or fault.region:
-            struck = self.struck(fault)
-            return [n for n, zone in enumerate(zones) if zone in struck]
-        return [int(n) for n in self.chaos.permutation(len(zones))[: ceil(fault.part * len(zones))]]
+            affected = self.affected_zones(fault)
+            return [n for n, zone in enumerate(zones) if zone in affected]
+        return [int(n) for n in self.fault_rng.permutation(len(zones))[: ceil(fault.part * len(zones))]]
 
-    def struck(self, fault: Fault) -> frozenset[str]:
-        """Zones."""
+    def affected_zones(self, fault: Fault) -> frozenset[str]:
+        """The zone or the zones of the region that the fault names."""
         regions = self.scenario.fleet.regions
         return frozenset(zone for zone in self.scenario.fleet.zones
                          if zone == fault.zone or fault.region and regions.get(zone) == fault.region)
 
     def step_clocks(self, fault: Fault) -> None:
-        struck = self.drawn(fault, [n.way.zone for n in self.nodes])
-        self.skews.update(dict.fromkeys(struck, fault.step))
-        self.clock.later(fault.lasts, partial(self.skews.update, dict.fromkeys(struck, 0.0)))
+        """Skews the machine clocks of the affected gateways, for processes that start meanwhile."""
+        affected = self.pick_affected(fault, [n.network.zone for n in self.gateways])
+        self.clock_skews.update(dict.fromkeys(affected, fault.step))
+        self.clock.later(fault.lasts, partial(self.clock_skews.update, dict.fromkeys(affected, 0.0)))
 
     def scan(self, rate: float, until: float) -> None:
-        """Customers that ask once, at that rate."""
+        """Sends requests of customers that have a single one, `rate` per second."""
         if self.clock.now >= until:
             return
-        plan, gateways = self.scenario.plans[0], len(self.nodes)
-        klass = self.scenario.classes[int(self.chaos.integers(len(self.scenario.classes)))]
-        width = width_of(plan, gateways)
-        self.weights.setdefault(width, gateway_weights(width, self.scenario.load.skew))
-        self.strangers += 1
-        first = int(self.chaos.integers(gateways))
-        stranger = make_customer(STRANGERS + self.strangers, plan, 0.0, first, width)
-        self.ask(stranger, klass, klass.work)
-        self.clock.later(float(self.chaos.exponential(1.0 / rate)), lambda: self.scan(rate, until))
-
-    def spoil(self, fault: Fault) -> None:
-        """What befalls all at once, and its end."""
-        weather = self.weather
+        plan, gateways = self.scenario.plans[0], len(self.gateways)
+        request_class = self.scenario.classes[int(self.fault_rng.integers(len(self.scenario.classes)))]
+        gateway_count = gateways_per_customer(plan, gateways)
+        self.weights.setdefault(gateway_count, gateway_weights(gateway_count, self.scenario.load.skew))
+        self.single_request_customers += 1
+        first_gateway = int(self.fault_rng.integers(gateways))
+        customer = make_customer(FIRST_SINGLE_REQUEST_CUSTOMER + self.single_request_customers, plan, 0.0,
+                                 first_gateway, gateway_count)
+        self.start_request(customer, request_class, request_class.work)
+        self.clock.later(float(self.fault_rng.exponential(1.0 / rate)), lambda: self.scan(rate, until))
+
+    def start_shared_fault(self, fault: Fault) -> None:
+        """Starts a fault of the counter, the list or the network and schedules its end."""
+        conditions = self.conditions
         if fault.kind == "counter":
             self.counter.down = True
         elif fault.kind == "list":
-            weather.late_until = self.clock.now + fault.lasts
+            conditions.list_delayed_until = self.clock.now + fault.lasts
         elif fault.kind == "cut":
-            weather.cut.add(self.struck(fault))
+            conditions.isolated_zones.add(self.affected_zones(fault))
         elif fault.kind == "crowded":
-            self.counter.slowed = fault.factor
+            self.counter.slowdown = fault.factor
         else:
-            weather.lost = fault.part
-        self.clock.later(fault.lasts, partial(self.clear_up, fault))
+            conditions.loss_rate = fault.part
+        self.clock.later(fault.lasts, partial(self.end_shared_fault, fault))
 
-    def clear_up(self, fault: Fault) -> None:
+    def end_shared_fault(self, fault: Fault) -> None:
         if fault.kind == "counter":
             self.counter.down = False
             if fault.empty:
-                self.counter.lose_all()
+                self.counter.clear()
         elif fault.kind == "crowded":
-            self.counter.slowed = 1.0
+            self.counter.slowdown = 1.0
         elif fault.kind == "cut":
-            self.weather.cut.discard(self.struck(fault))
+            self.conditions.isolated_zones.discard(self.affected_zones(fault))
         elif fault.kind == "lost":
-            self.weather.lost = 0.0
+            self.conditions.loss_rate = 0.0
 
-    def hurt(self, machine: Machine, fault: Fault) -> None:
+    def start_backend_fault(self, machine: Machine, fault: Fault) -> None:
         if fault.kind == "slow":
             machine.slow_down(fault.factor)
             self.clock.later(fault.lasts, partial(machine.slow_down, 1.0))
@@ -438,84 +468,86 @@
             machine.fail(Condition.HANGING)
             self.clock.later(fault.lasts, partial(machine.recover, cold=False))
         elif fault.kind == "drain":
-            self.leave(machine)
-            self.clock.later(fault.lasts, partial(self.come_back, machine))
+            self.drain_backend(machine)
+            self.clock.later(fault.lasts, partial(self.end_drain, machine))
         elif fault.kind == "reset":
-            self.break_links(machine)
+            self.reset_connections(machine)
         else:
             self.end_process(machine)
-            self.clock.later(fault.lasts, partial(self.bring_back, machine))
+            self.clock.later(fault.lasts, partial(self.restart_backend, machine))
 
-    def replace(self, machine: Machine) -> None:
-        """One step of a release: drained, ended, and started again."""
-        self.leave(machine)
-        self.clock.later(DRAINED, partial(self.end_process, machine))
-        self.clock.later(DRAINED + RESTART, partial(self.bring_back, machine))
+    def release_backend(self, machine: Machine) -> None:
+        """One step of a release: the backend is drained, ended and started again."""
+        self.drain_backend(machine)
+        self.clock.later(DRAIN_TIME, partial(self.end_process, machine))
+        self.clock.later(DRAIN_TIME + RESTART_TIME, partial(self.restart_backend, machine))
 
-    def leave(self, machine: Machine) -> None:
-        self.leaving.add(machine.name)
-        self.announce(machine)
+    def drain_backend(self, machine: Machine) -> None:
+        self.draining.add(machine.name)
+        self.announce_change(machine)
 
-    def come_back(self, machine: Machine) -> None:
-        self.leaving.discard(machine.name)
-        self.announce(machine)
+    def end_drain(self, machine: Machine) -> None:
+        self.draining.discard(machine.name)
+        self.announce_change(machine)
 
     def end_process(self, machine: Machine) -> None:
         machine.fail(Condition.DOWN)
-        self.break_links(machine)
+        self.reset_connections(machine)
 
-    def break_links(self, machine: Machine) -> None:
-        for node in self.nodes:
-            node.break_links(machine)
+    def reset_connections(self, machine: Machine) -> None:
+        for gateway in self.gateways:
+            gateway.reset_connections(machine)
 
-    def bring_back(self, machine: Machine) -> None:
-        """Cold, and told to each gateway in its own time."""
+    def restart_backend(self, machine: Machine) -> None:
+        """Starts its process cold; gateways are notified with the lag of discovery."""
         machine.recover(cold=True)
-        self.come_back(machine)
-
-    def announce(self, machine: Machine) -> None:
-        news = BackendList(ListKind.CHANGES, (self.entry(machine),))
-        lags = self.chaos.random(len(self.nodes)) * 2.0 * self.scenario.discovery.lag
-        for me, lag in enumerate(lags):
-            self.clock.later(float(lag), partial(self.tell, me, news))
-
-    def tell(self, me: int, news: BackendList) -> None:
-        node, now = self.nodes[me], self.clock.now
-        held = now < self.weather.late_until or not node.way.passes(self.counter.zone)
-        if held:  # the list stands where the counter does
-            self.clock.later(AGAIN, partial(self.tell, me, news))
+        self.end_drain(machine)
+
+    def announce_change(self, machine: Machine) -> None:
+        """Delivers its list entry to each gateway after a random lag."""
+        changes = BackendList(ListKind.CHANGES, (self.list_entry(machine),))
+        lags = self.fault_rng.random(len(self.gateways)) * 2.0 * self.scenario.discovery.lag
+        for gateway_index, lag in enumerate(lags):
+            self.clock.later(float(lag), partial(self.deliver_list, gateway_index, changes))
+
+    def deliver_list(self, gateway_index: int, changes: BackendList) -> None:
+        gateway, now = self.gateways[gateway_index], self.clock.now
+        delayed = now < self.conditions.list_delayed_until or not gateway.network.reaches(self.counter.zone)
+        if delayed:  # the list service is in the counter's zone
+            self.clock.later(LIST_RETRY_INTERVAL, partial(self.deliver_list, gateway_index, changes))
         else:
-            entries = tuple(self.entry(self.machines[b.address]) for b in news.backends)  # as it is by now
-            node.hear(BackendList(news.kind, entries))
+            # the entries as of now, which may have changed since the announcement
+            entries = tuple(self.list_entry(self.machines[b.address]) for b in changes.backends)
+            gateway.receive_list(BackendList(changes.kind, entries))
 
-    def forget(self) -> None:
-        self.counter.forget()
-        self.clock.later(FORGET_EVERY, self.forget)
+    def drop_expired(self) -> None:
+        self.counter.drop_expired()
+        self.clock.later(CLEANUP_INTERVAL, self.drop_expired)
 
-    # what came of it
+    # results
 
     def report(self) -> dict[str, Any]:
-        """The figures of a run that has been played, the same in every play of it."""
-        result, nodes = self.result, [*self.old, *self.nodes]
+        """The figures of a completed run, the same in every play of it."""
+        result, gateways = self.result, [*self.ended_gateways, *self.gateways]
         attempts: Tally[str] = Tally()
         refusals: Tally[str] = Tally()
         pool: Tally[str] = Tally()
-        for node in nodes:
-            of_attempts, of_refusals, of_pool = node.figures()
+        for gateway in gateways:
+            of_attempts, of_refusals, of_pool = gateway.figures()
             attempts += of_attempts
             refusals += of_refusals
             pool += of_pool
-        loads = [m.busy for m in self.machines.values()]
-        first = sum(result.ends.values())
+        loads = [m.busy_core_seconds for m in self.machines.values()]
+        request_count = sum(result.ends.values())
         return {
             "scenario": self.scenario.name, "seed": self.seed,
-            "served": round(result.earned / result.asked, 6) if result.asked else None,
-            "overrun": round(result.overrun / result.asked, 6) if result.asked else None,
-            "sent_beyond": result.sent_on[False], "sent_inside": result.sent_on[True],
-            "requests": first, "tries": result.tries, "ends": dict(sorted(result.ends.items())),
+            "served": round(result.worth_earned / result.worth_asked, 6) if result.worth_asked else None,
+            "overrun": round(result.overrun_cost / result.worth_asked, 6) if result.worth_asked else None,
+            "sent_beyond": result.sent_by_coverage[False], "sent_inside": result.sent_by_coverage[True],
+            "requests": request_count, "tries": result.tries, "ends": dict(sorted(result.ends.items())),
             "latency_ms": {f"p{p:g}": result.latency.get_value_at_percentile(p) for p in PERCENTILES},
             "refusals": dict(sorted(refusals.items())), "attempts": dict(sorted(attempts.items())),
-            "counter": dict(sorted(self.counter.ends.items())),
+            "counter": dict(sorted(self.counter.outcomes.items())),
             "handshakes": sum(m.handshakes for m in self.machines.values()),
             "pool": dict(sorted(pool.items())),
             "load_spread": round(max(loads) / (sum(loads) / len(loads)), 3) if sum(loads) else None,
@@ -523,8 +555,8 @@
             "breaches": len(self.rules.breaches),
             "first_breaches": [
                 {"rule": b.rule, "at": round(b.at - self.origin, 6), "what": b.what}
-                for b in self.rules.breaches[:MOST_BREACHES]],
-            "fallen": sorted(m.name for m in self.machines.values() if m.fell),
-            "service": [[n * WINDOW, round(asked, 3), round(earned, 3)]
-                        for n, (asked, earned) in sorted(result.rows.items())],
+                for b in self.rules.breaches[:MAX_REPORTED_BREACHES]],
+            "fallen": sorted(m.name for m in self.machines.values() if m.collapsed),
+            "service": [[n * SERVICE_WINDOW, round(asked, 3), round(earned, 3)]
+                        for n, (asked, earned) in sorted(result.service_windows.items())],
         }
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from embersill.__main__ import Program, build_configuration
-from embersill.lab.peers import HOST, Asked, read_message, reset
+from embersill.lab.peers import HOST, HttpMessage, read_message, reset
 from embersill.net.backends import BackendConnection
 from embersill.net.pool import Pool
 from tests.peers import SOON, BackendPeer, CounterPeer, DiscoveryPeer, settings_text
@@ -185,7 +185,7 @@
         await asyncio.get_running_loop().sock_connect(sock, (HOST, self.port))
         return Client(*await asyncio.open_connection(sock=sock))
 
-    def seen(self) -> list[Asked]:
+    def seen(self) -> list[HttpMessage]:
         """Returns the requests that the backends have received."""
         return [received for b in self.backends for received in b.seen]
 
--- a/tests/framing_model.py
+++ b/tests/framing_model.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from embersill.interface import Outcome
-from embersill.lab.peers import Peer, message, read_message, reset
+from embersill.lab.peers import Peer, response_bytes, read_message, reset
 from embersill.net.backends import AttemptResult, Attempt, Dialer
 
 OPTIONAL_WHITE_SPACE = b" \t"
@@ -335,7 +335,7 @@
     body: bytes
 
 
-SERVED = unsplit(message(200, b"plain"))
+SERVED = unsplit(response_bytes(200, b"plain"))
 
 
 class RawBackend(Peer):
--- a/tests/measure_drain.py
+++ b/tests/measure_drain.py
@@ -19,7 +19,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from tests.bed import READY, Client, request
 from tests.peers import BackendPeer
 from tests.test_directory_gateways import GatewayProcess
@@ -108,11 +108,11 @@
         for place, backend in enumerate(backends):
             backend.script = Endless(self.step(place))
 
-    def step(self, place: int) -> Callable[[asyncio.StreamWriter, Asked], Coroutine[Any, Any, None]]:
-        async def serve(writer: asyncio.StreamWriter, got: Asked) -> None:
+    def step(self, place: int) -> Callable[[asyncio.StreamWriter, HttpMessage], Coroutine[Any, Any, None]]:
+        async def serve(writer: asyncio.StreamWriter, got: HttpMessage) -> None:
             self.seen.append((time.monotonic(), place, got[1]["x-call-id"]))
             await asyncio.sleep(LONGEST if random.random() < 0.1 else LONGEST / 10 * random.random())
-            writer.write(message(200, b"served"))
+            writer.write(response_bytes(200, b"served"))
 
         return serve
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -9,14 +9,16 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from embersill.lab.peers import Asked, Peer, message, read_call, read_message, total_text
+from embersill.lab.peers import (
+    HttpMessage, Peer, counter_reply, read_counter_call, read_message, response_bytes,
+)
 
 SOON = 10.0  # seconds after which a test that waits for an event fails; events come long before
-Step = Callable[[asyncio.StreamWriter, Asked], Awaitable[None] | None]
+Step = Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None] | None]
 
 
-def serve(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    writer.write(message(200, b"served " + asked[1]["x-call-id"].encode(), "Billed-Units: 2"))
+def serve(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    writer.write(response_bytes(200, b"served " + asked[1]["x-call-id"].encode(), "Billed-Units: 2"))
 
 
 class BackendPeer(Peer):
@@ -24,7 +26,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.seen: list[Asked] = []
+        self.seen: list[HttpMessage] = []
         self.script: list[Step] = []
         self.arrived = asyncio.Condition()
         self.ended = 0  # connections that the gateway closed
@@ -106,7 +108,7 @@
             if self.answers_to_omit:
                 self.answers_to_omit -= 1
             elif not self.silent:
-                writer.write(message(200, body, *self.headers))
+                writer.write(response_bytes(200, body, *self.headers))
 
     async def news(self, since: int, wait: float) -> bytes:
         try:
@@ -137,11 +139,11 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            arguments = await read_call(reader)
+            arguments = await read_counter_call(reader)
             name, amount = arguments[1], float(arguments[2])
             self.calls.append((name, amount))
             self.sums[name] = self.sums.get(name, 0.0) + amount
-            answer = total_text(self.sums[name])
+            answer = counter_reply(self.sums[name])
             await self.may_answer.wait()
             writer.write(self.scripted_answers.pop(0) if self.scripted_answers else answer)
 
--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -264,7 +264,7 @@
             made.add(here)
             assert await made.outcomes(20) == {Outcome.SERVED: 20}
             assert len(leaving.calls) == 10
-            await made.until(lambda: not leaving.open and not made.router.former_counters)
+            await made.until(lambda: not leaving.writers and not made.router.former_counters)
 
     run(test)
 
@@ -344,7 +344,7 @@
                 for member in made.router.members.values():
                     member.last_used_at -= 2 * TIMEOUT
                 await asyncio.sleep(0)
-                assert sum(len(peer.open) for peer in made.peers.values()) <= 9
+                assert sum(len(peer.writers) for peer in made.peers.values()) <= 9
             assert most == 8
             assert await made.outcomes(480) == {Outcome.SERVED: 480}
             assert sum(bool(peer.calls) for peer in made.peers.values()) == 50
--- a/tests/test_aggregator_failures.py
+++ b/tests/test_aggregator_failures.py
@@ -8,7 +8,7 @@
 from contextlib import AsyncExitStack, asynccontextmanager
 
 from embersill.aggregator.messages import Busy, BusyReason, Total
-from embersill.lab.peers import HOST, free_port, read_call, total_text
+from embersill.lab.peers import HOST, free_port, read_counter_call, counter_reply
 from tests.aggregators import (
     AggregatorProcess,
     Bench,
@@ -39,7 +39,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            words = await read_call(reader)
+            words = await read_counter_call(reader)
             if self.cut_off:
                 continue
             if self.delay:
@@ -49,7 +49,7 @@
             self.calls.append((name, amount))
             self.sums[name] = self.sums.get(name, 0.0) + amount
             if not self.mute:
-                writer.write(total_text(self.sums[name]))
+                writer.write(counter_reply(self.sums[name]))
 
     def calls_for(self, name: str) -> int:
         return sum(called == name for called, _ in self.calls)
@@ -203,7 +203,7 @@
         async with serving(counter.address, window=0.02) as server, caller(server.port) as one:
             await until_lease(server)
             assert await one.add("a.1", 1.0) == 1.0
-            counter.scripted_answers = [total_text(5.0) * 2]
+            counter.scripted_answers = [counter_reply(5.0) * 2]
             await one.add("a.1", 4.0)
             await until_counted(counter, "a.1", 5.0)
             for _ in range(20):
--- a/tests/test_aggregator_server.py
+++ b/tests/test_aggregator_server.py
@@ -15,7 +15,7 @@
 from embersill.aggregator.resp import CallError, read_add, read_result
 from embersill.aggregator.server import MOST_CALL_BYTES, MOST_UNANSWERED
 from embersill.aggregator.upstream import Upstream, UpstreamOptions
-from embersill.lab.peers import HOST, free_port, read_call, reset
+from embersill.lab.peers import HOST, free_port, read_counter_call, reset
 from tests.aggregators import AggregatorProcess, caller, read_value, serving, until_lease, until_ready
 from tests.lists import ROOT, run, served
 from tests.peers import SOON, CounterPeer
@@ -236,7 +236,7 @@
             async with asyncio.timeout(SOON):
                 while ("a.1", 4.0) not in counter.calls:
                     await asyncio.sleep(0.005)
-            for writer in list(counter.open):
+            for writer in list(counter.writers):
                 reset(writer)
             assert read_value(await one.read()) == "none"
             counter.may_answer.set()
@@ -319,7 +319,7 @@
     class SlowCounter(CounterPeer):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                await read_call(reader)
+                await read_counter_call(reader)
                 await asyncio.sleep(0.25)
                 writer.write(b"$1\r\n7\r\n")
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,7 +12,7 @@
 import pytest
 
 from embersill.interface import Outcome
-from embersill.lab.peers import HOST, Asked, free_port, message, reset
+from embersill.lab.peers import HOST, HttpMessage, free_port, response_bytes, reset
 from embersill.net.backends import REUSE_DELAY, AttemptResult, Attempt, Dialer
 from embersill.net.bodies import STREAMING_THRESHOLD, Sink
 from embersill.net.pool import Address, Pool
@@ -79,7 +79,7 @@
 
 
 def says(text: bytes, close: bool = False) -> Step:
-    def step(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    def step(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         writer.write(text)
         if close:
             writer.close()
@@ -87,31 +87,31 @@
     return step
 
 
-def cuts(writer: asyncio.StreamWriter, asked: Asked) -> None:
+def cuts(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
     writer.transport.abort()
 
 
 @pytest.mark.parametrize(("text", "outcome"), [
-    (message(200, b"x"), Outcome.SERVED),
-    (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SERVED),
-    (b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + message(200, b"x" * STREAMING_THRESHOLD),
+    (response_bytes(200, b"x"), Outcome.SERVED),
+    (b"HTTP/1.1 100 Continue\r\n\r\n" + response_bytes(200, b"x"), Outcome.SERVED),
+    (b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + response_bytes(200, b"x" * STREAMING_THRESHOLD),
      Outcome.SERVED),
-    (message(200, b"x", "Connection: close"), Outcome.SERVED),
-    (message(200, b"x") + message(200, b"y"), Outcome.SERVED),
-    (message(500), Outcome.ERROR),
-    (message(204), Outcome.ERROR),
-    (message(503), Outcome.ERROR),
-    (message(500, b"", "X-Rejected: 1"), Outcome.ERROR),
-    (message(503, b"", "X-Rejected: 1"), Outcome.REJECTED),
-    (message(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
-    (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
+    (response_bytes(200, b"x", "Connection: close"), Outcome.SERVED),
+    (response_bytes(200, b"x") + response_bytes(200, b"y"), Outcome.SERVED),
+    (response_bytes(500), Outcome.ERROR),
+    (response_bytes(204), Outcome.ERROR),
+    (response_bytes(503), Outcome.ERROR),
+    (response_bytes(500, b"", "X-Rejected: 1"), Outcome.ERROR),
+    (response_bytes(503, b"", "X-Rejected: 1"), Outcome.REJECTED),
+    (response_bytes(504, b"", "X-Rejected: 1"), Outcome.REJECTED),
+    (response_bytes(504, b"", "X-Rejected: 0"), Outcome.ERROR),
     (b"rubbish\r\n\r\n", Outcome.CONNECTION_LOST),
-    (message(200, b"x" * STREAMING_THRESHOLD), Outcome.SERVED),
+    (response_bytes(200, b"x" * STREAMING_THRESHOLD), Outcome.SERVED),
     (b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Sum: 1\r\n\r\n", Outcome.SERVED),
-    (message(500, b"x" * (STREAMING_THRESHOLD + 1)), Outcome.ERROR),
-    (message(503, b"x" * (STREAMING_THRESHOLD + 1), "X-Rejected: 1"), Outcome.REJECTED),
-    (message(200, b"x", "Content-Length: 7"), Outcome.CONNECTION_LOST),
-    (message(200, b"x", "Transfer-Encoding: chunked"), Outcome.CONNECTION_LOST),
+    (response_bytes(500, b"x" * (STREAMING_THRESHOLD + 1)), Outcome.ERROR),
+    (response_bytes(503, b"x" * (STREAMING_THRESHOLD + 1), "X-Rejected: 1"), Outcome.REJECTED),
+    (response_bytes(200, b"x", "Content-Length: 7"), Outcome.CONNECTION_LOST),
+    (response_bytes(200, b"x", "Transfer-Encoding: chunked"), Outcome.CONNECTION_LOST),
 ])
 def test_the_answer_determines_the_outcome(text: bytes, outcome: Outcome) -> None:
     async def test() -> None:
@@ -124,11 +124,11 @@
 
 
 @pytest.mark.parametrize("second", [
-    message(200, b"x"), message(200, b"y"), message(500, b"", "X-Rejected: 1"),
+    response_bytes(200, b"x"), response_bytes(200, b"y"), response_bytes(500, b"", "X-Rejected: 1"),
 ])
 def test_of_two_answers_to_one_request_only_the_first_counts(second: bytes) -> None:
     async def test() -> None:
-        async with sending(says(message(200, b"x", "Billed-Units: 3") + second)) as (sender, peer):
+        async with sending(says(response_bytes(200, b"x", "Billed-Units: 3") + second)) as (sender, peer):
             answer = await sender.start()[1]
             assert (answer.outcome, answer.body, answer.units) == (Outcome.SERVED, b"x", 3.0)
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
@@ -140,7 +140,7 @@
     async def test() -> None:
         lines = b"X-Rejected: 1\r\nBilled-Units: 7\r\nContent-Type: text/plain\r\n"
         interim = b"HTTP/1.1 103 Early Hints\r\n" + lines + b"\r\n"
-        async with sending(says(interim + message(200, b"x")), says(interim + message(503))) as (sender, _):
+        async with sending(says(interim + response_bytes(200, b"x")), says(interim + response_bytes(503))) as (sender, _):
             served = await sender.start()[1]
             assert (served.outcome, served.units, served.headers) == (Outcome.SERVED, 0.0, b"")
             assert await sender.outcome() is Outcome.ERROR  # it may have run: nothing proves that it did not
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("endless", [b"X-Pad: pppppppp\r\n", b"\r\nHTTP/1.1 103 Early Hints\r\n"])
 def test_an_endless_head_ends_the_attempt(endless: bytes) -> None:
     # waiting for its end would take the attempt's full time, in which another backend can answer
-    async def pads(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    async def pads(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         writer.write(b"HTTP/1.1 103 Early Hints\r\n")
         while not writer.is_closing():
             writer.write(100 * endless)
@@ -187,7 +187,7 @@
 
 def test_an_attempt_on_an_idle_connection_that_was_dead_may_have_run() -> None:
     async def test() -> None:
-        async with sending(says(message(200)), cuts) as (sender, peer):
+        async with sending(says(response_bytes(200)), cuts) as (sender, peer):
             assert await sender.outcome() is Outcome.SERVED
             assert await sender.outcome() is Outcome.CONNECTION_LOST
             assert len(peer.seen) == 2 and peer.connections == 1
@@ -302,7 +302,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("late", [message(200, b"of nobody"), b""])
+@pytest.mark.parametrize("late", [response_bytes(200, b"of nobody"), b""])
 def test_unread_bytes_on_an_idle_connection_are_not_the_next_answer(late: bytes) -> None:
     # the bytes are in the kernel's buffer, but the event loop has not read them yet
     async def test() -> None:
@@ -313,7 +313,7 @@
             listener.setblocking(False)
             dialer = Dialer(loop.time, 5.0, 60.0, 10)
             dialer.pool.set_address("b", listener.getsockname())
-            sender, served = Sender(dialer), message(200, b"x")
+            sender, served = Sender(dialer), response_bytes(200, b"x")
             _, first = sender.start()
             old, _ = await loop.sock_accept(listener)
             await loop.sock_recv(old, 4096)
@@ -339,7 +339,7 @@
     # a device on the path may drop idle connections silently, long before the backend closes them
     async def test() -> None:
         now = 0.0
-        served = says(message(200, b"x"))
+        served = says(response_bytes(200, b"x"))
         async with sending(served, cuts, served, served, served, keepalive=10.0) as (sender, peer):
             sender.set_clock(lambda: now)
             assert await sender.outcome() is Outcome.SERVED
@@ -359,14 +359,14 @@
 def test_a_break_during_an_attempt_does_not_change_the_idle_time() -> None:
     async def test() -> None:
         now = 0.0
-        async with sending(says(message(200)), says(b"")) as (sender, peer):
+        async with sending(says(response_bytes(200)), says(b"")) as (sender, peer):
             sender.set_clock(lambda: now)
             assert await sender.outcome() is Outcome.SERVED
             now = 1.0
             _, ended = sender.start()
             await peer.until(lambda: len(peer.seen) == 2)
             now = 2.0
-            for writer in list(peer.open):
+            for writer in list(peer.writers):
                 writer.transport.abort()
             assert (await ended).outcome is Outcome.CONNECTION_LOST
             assert sender.pool.backends["b"].proven_idle_time == float("inf")
@@ -378,7 +378,7 @@
     # connections to a machine that lost its network stay open but silent: an attempt written to one of them
     # may have run, while one whose connection could not be opened cannot have run
     async def test() -> None:
-        served, silent = says(message(200)), says(b"")
+        served, silent = says(response_bytes(200)), says(b"")
         async with sending(silent, silent, served, served, served) as (sender, peer):
             _, first = sender.start(5.0)
             await peer.until(lambda: len(peer.seen) == 1)
@@ -418,8 +418,8 @@
 
 
 @pytest.mark.parametrize("text", [
-    b"HTTP/1.0 200 X\r\nContent-Length: 1\r\n\r\nx", message(200, b"x", "Connection: close"),
-    message(200, b"x") + b"H", message(200, b"x") + message(200, b"y"),
+    b"HTTP/1.0 200 X\r\nContent-Length: 1\r\n\r\nx", response_bytes(200, b"x", "Connection: close"),
+    response_bytes(200, b"x") + b"H", response_bytes(200, b"x") + response_bytes(200, b"y"),
 ])
 def test_a_connection_is_reused_only_after_a_correct_answer(text: bytes) -> None:
     async def test() -> None:
@@ -434,7 +434,7 @@
 
 def test_a_backend_that_refuses_is_reported_with_its_open_connections() -> None:
     async def test() -> None:
-        async with sending(says(message(200)), says(b"")) as (sender, peer):
+        async with sending(says(response_bytes(200)), says(b"")) as (sender, peer):
             told: list[tuple[str, int]] = []
             sender.pool.on_open_failed = lambda backend, up: told.append((backend, up))
             assert await sender.outcome() is Outcome.SERVED
@@ -462,8 +462,8 @@
 def test_ten_thousand_opens_cancellations_and_faults_leak_nothing() -> None:
     async def test() -> None:
         dice = random.Random(7)
-        served, silent = says(message(200)), says(b"")
-        steps = [served, served, says(message(200), close=True), cuts, silent]
+        served, silent = says(response_bytes(200)), says(b"")
+        steps = [served, served, says(response_bytes(200), close=True), cuts, silent]
         async with sending() as (sender, peer):
             sender.pool.set_address("nowhere", (HOST, free_port()))
             assert await sender.outcome() is Outcome.SERVED
@@ -483,7 +483,7 @@
             await sender.rested()
             sender.pool.close_idle("b")
             async with asyncio.timeout(SOON):
-                while sender.pool.connections or peer.open:
+                while sender.pool.connections or peer.writers:
                     await asyncio.sleep(0.01)
             after = len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
             assert (
@@ -506,13 +506,13 @@
     assert REUSE_DELAY >= 2 * 0.004
     monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)  # long enough on a busy machine
 
-    async def answer_twice(writer: asyncio.StreamWriter, asked: Asked) -> None:
-        writer.write(message(200, b"first"))
+    async def answer_twice(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        writer.write(response_bytes(200, b"first"))
         await asyncio.sleep(late)
-        writer.write(message(200, b"first"))
+        writer.write(response_bytes(200, b"first"))
 
     async def test() -> None:
-        async with sending(answer_twice, says(message(200, b"second"))) as (sender, peer):
+        async with sending(answer_twice, says(response_bytes(200, b"second"))) as (sender, peer):
             answer = await sender.start()[1]
             assert (answer.outcome, answer.body) == (Outcome.SERVED, b"first")
             following = await sender.start()[1]
@@ -541,8 +541,8 @@
 ) -> None:
     monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)
 
-    async def fail_afterwards(writer: asyncio.StreamWriter, asked: Asked) -> None:
-        writer.write(message(200, b"first"))
+    async def fail_afterwards(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+        writer.write(response_bytes(200, b"first"))
         await asyncio.sleep(0.002)
         if end == "half a line":
             writer.write(b"HTTP/1.1 2")
@@ -552,7 +552,7 @@
             writer.close()
 
     async def test() -> None:
-        async with sending(fail_afterwards, says(message(200, b"second"))) as (sender, peer):
+        async with sending(fail_afterwards, says(response_bytes(200, b"second"))) as (sender, peer):
             assert (await sender.start()[1]).body == b"first"
             assert (await sender.start()[1]).body == b"second"
             await sender.rested()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.lab.peers import Asked, message, read_message
+from embersill.lab.peers import HttpMessage, response_bytes, read_message
 from embersill.net.bodies import READ_SIZE, STREAMING_THRESHOLD, closed_by_peer, is_readable
 from embersill.net.clients import MIN_BODY_RATE, REQUEST_TIMEOUT
 from tests.bed import Bed, Client, backend_connections, request, roomy_settings, run, running
@@ -36,7 +36,7 @@
             seen = asyncio.Event()
             head, pieces, end = framed(framing, [LARGE[:100_000], LARGE[100_000:]])
 
-            async def slowly(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def slowly(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 writer.write(head + pieces[0])
                 await seen.wait()
                 writer.write(pieces[1] + end)
@@ -66,7 +66,7 @@
         async with running(backends=2) as bed:
             head, pieces, _ = framed(framing, [LARGE[:500_000], LARGE[500_000:]])
 
-            async def breaks(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def breaks(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 writer.write(head + pieces[0])
                 await writer.drain()
                 writer.transport.abort()
@@ -89,11 +89,11 @@
         async with running(backends=2) as bed:
             failed: list[int] = []
 
-            def once(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            def once(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 if failed:
                     return serve(writer, asked)
                 failed.append(1)
-                writer.write(message(200, b"x" * STREAMING_THRESHOLD)[:-1])
+                writer.write(response_bytes(200, b"x" * STREAMING_THRESHOLD)[:-1])
                 return writer.transport.abort()
 
             for backend in bed.backends:
@@ -109,7 +109,7 @@
         async with running() as bed:
             sent: list[int] = []
 
-            async def floods(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def floods(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % (32 * len(LARGE)))
                 for _ in range(32):
                     writer.write(LARGE)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from embersill.net.backends import BackendConnection, Dialer
 from embersill.net.clients import DISCONNECT_CHECK_INTERVAL, MAX_PIPELINED, ClientConnection
 from embersill.net.pool import Address
@@ -71,7 +71,7 @@
     """Sends a request that its backend answers once the returned event is set."""
     release, seen = asyncio.Event(), len(bed.seen())
 
-    async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    async def late(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         await release.wait()
         serve(writer, asked)
 
@@ -108,7 +108,7 @@
 
 def test_an_answer_sent_before_the_disconnect_is_written_completely() -> None:
     async def test(bed: Bed) -> None:
-        bed.backends[0].script = [lambda writer, asked: writer.write(message(200, b"x" * 60_000))]
+        bed.backends[0].script = [lambda writer, asked: writer.write(response_bytes(200, b"x" * 60_000))]
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         client.send(request(1))
@@ -193,14 +193,14 @@
     async def test(bed: Bed) -> None:
         release = asyncio.Event()
 
-        async def fail(writer: asyncio.StreamWriter, asked: Asked) -> None:
+        async def fail(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
             await release.wait()
             if end == "reset":
                 writer.transport.abort()
             elif end == "error":
-                writer.write(message(500, b""))
+                writer.write(response_bytes(500, b""))
             else:
-                writer.write(message(503, b"", "X-Rejected: 1"))
+                writer.write(response_bytes(503, b"", "X-Rejected: 1"))
 
         for backend in bed.backends:
             backend.script = [fail]
@@ -222,7 +222,7 @@
     """A connection with so many requests in progress that the gateway has paused reading from it."""
     release = asyncio.Event()
 
-    async def never(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    async def never(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         await release.wait()
 
     bed.backends[0].script = [never] * MAX_PIPELINED
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from embersill.net.bodies import MAX_BODY, STREAMING_THRESHOLD
 from embersill.net.clients import MAX_HEAD, MIN_BODY_RATE, REQUEST_TIMEOUT, STALLED_AFTER, WRITE_TIMEOUT
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
@@ -48,7 +48,7 @@
     async def test(bed: Bed, client: Client) -> None:
         both = asyncio.Event()
 
-        async def answer(writer: asyncio.StreamWriter, asked: Asked) -> None:
+        async def answer(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
             if asked[1]["x-call-id"].endswith("1"):
                 await both.wait()
             serve(writer, asked)
@@ -168,7 +168,7 @@
     async def test(bed: Bed, client: Client) -> None:
         free = asyncio.Event()
 
-        async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
+        async def late(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
             await free.wait()
             serve(writer, asked)
 
@@ -189,7 +189,7 @@
 def test_no_requests_are_read_from_a_client_that_does_not_read_answers() -> None:
     # Otherwise its answers would accumulate in the gateway's memory.
     async def test(bed: Bed, client: Client) -> None:
-        large = message(200, b"x" * STREAMING_THRESHOLD)
+        large = response_bytes(200, b"x" * STREAMING_THRESHOLD)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -212,7 +212,7 @@
     # Otherwise it would keep its descriptor and the memory of its answers indefinitely.
     async def test(bed: Bed, client: Client) -> None:
         server, clock = bed.program.front, bed.program.front.clock
-        large = message(200, b"x" * STREAMING_THRESHOLD)
+        large = response_bytes(200, b"x" * STREAMING_THRESHOLD)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -254,7 +254,7 @@
     async def test(bed: Bed, client: Client) -> None:
         free = asyncio.Event()
 
-        async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
+        async def late(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
             await free.wait()
             serve(writer, asked)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from embersill.net.console import MAX_CONSOLE_CONNECTIONS, MAX_LINE_LENGTH
 from tests.bed import READY, Bed, request, roomy_settings, run, running
 from tests.peers import SOON, serve
@@ -81,7 +81,7 @@
                 "backend_calls": 0, "inflight": 0, "hosts_listed": 1, "hosts_down": 0,
                 "pool_connections": 0, "pool_idle": 0}
             client = await bed.client()
-            bed.backends[0].script = [lambda writer, asked: writer.write(message(500))]
+            bed.backends[0].script = [lambda writer, asked: writer.write(response_bytes(500))]
             assert (await client.ask(request(1, "extract", units="4")))[0] == 502
             assert (await client.ask(request(2, units="4")))[0] == 200
             assert (await client.ask(request(3, units="8")))[0] == 429  # the token bank held 8 of the 16
@@ -164,7 +164,7 @@
         async with running(backends=2) as bed:
             free = asyncio.Event()
 
-            async def late(writer: asyncio.StreamWriter, got: Asked) -> None:
+            async def late(writer: asyncio.StreamWriter, got: HttpMessage) -> None:
                 await free.wait()
                 serve(writer, got)
 
@@ -225,7 +225,7 @@
     async def test() -> None:
         monkeypatch.setattr("embersill.net.clients.WRITE_TIMEOUT", 0.2)
         async with running() as bed:
-            bed.backends[0].script = [lambda writer, got: writer.write(message(200, b"x" * 8_000_000))]
+            bed.backends[0].script = [lambda writer, got: writer.write(response_bytes(200, b"x" * 8_000_000))]
             deaf = await bed.client(receive_buffer=4096)
             deaf.writer.transport.pause_reading()  # type: ignore[attr-defined]
             deaf.send(request(1))
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -147,7 +147,7 @@
             counter.add("c1.7", 1.0, 4.0)
             while not peer.calls:
                 await asyncio.sleep(0)
-            for writer in list(peer.open):
+            for writer in list(peer.writers):
                 writer.transport.abort()
             assert (await results.next())[1] is Outcome.TIMED_OUT
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 
 from embersill.__main__ import Program, build_configuration
 from embersill.interface import ListKind, BackendStatus
-from embersill.lab.peers import message
+from embersill.lab.peers import response_bytes
 from embersill.net.discovery import EARLY_EMPTY_PAUSE, Discovery, Overloaded
 from embersill.net.listing import InvalidList, Listing, read_address, read_addresses, read_listing
 from tests.bed import READY, Bed, Client, no_descriptors, request, roomy_settings, run, running
@@ -108,8 +108,8 @@
         task, lists = await follow(peer)
         await lists.get()
         await peer.until_asked(2)
-        for writer in list(peer.open):
-            writer.write(message(410) if way == "refused" else message(200, b"rubbish"))
+        for writer in list(peer.writers):
+            writer.write(response_bytes(410) if way == "refused" else response_bytes(200, b"rubbish"))
         listing = await lists.get()
         assert listing.is_full and "since" not in peer.asked[2]
         await peer.until_asked(4)
@@ -133,9 +133,9 @@
         task, lists = await follow(peer, 1)
         assert not (await lists.get()).entries and "since=1&timeout_ms=1 " in peer.asked[0]
         await peer.until_asked(2)
-        for writer in list(peer.open):
+        for writer in list(peer.writers):
             if way == "full":
-                writer.write(message(503))
+                writer.write(response_bytes(503))
             else:
                 writer.transport.abort()
         await peer.until_asked(3)
@@ -324,8 +324,8 @@
         discovery, task, lists = await follow_all([first, second])
         assert (await lists.get()).generation == 9
         await first.until_asked(2)
-        for writer in list(first.open):
-            writer.write(message(200, b"{"))  # the next call names no generation and could get any list
+        for writer in list(first.writers):
+            writer.write(response_bytes(200, b"{"))  # the next call names no generation and could get any list
         await first.stop()
         await second.until_asked(3)
         assert lists.empty() and "since" not in second.asked[0]
@@ -346,7 +346,7 @@
         assert (await lists.get()).generation == 9
         await first.until_asked(2)
         first.generation, first.entries = 4, {}
-        for writer in list(first.open):
+        for writer in list(first.writers):
             writer.transport.abort()
         while (listing := await lists.get()).generation != 4 or not listing.is_full:
             pass
@@ -360,8 +360,8 @@
 
 @pytest.mark.parametrize("wrong", [
     b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{\"generation\":1", b"HTTP/1.1 200 X\r\nContent-Le",
-    message(200, b"[]"), message(200, b'{"generation":"x","reset":true,"instances":[]}'), b"\0" * 100,
-    message(302), message(200),
+    response_bytes(200, b"[]"), response_bytes(200, b'{"generation":"x","reset":true,"instances":[]}'), b"\0" * 100,
+    response_bytes(302), response_bytes(200),
 ])
 def test_malformed_answers_keep_the_list_and_switch_to_the_next_address(wrong: bytes) -> None:
     async def test() -> None:
@@ -369,7 +369,7 @@
         discovery, task, lists = await follow_all([first, second])
         assert (await lists.get()).is_full
         await first.until_asked(2)
-        for writer in list(first.open):
+        for writer in list(first.writers):
             writer.write(wrong)
             writer.close()
         await second.until_asked(1)
--- a/tests/test_drain_moment.py
+++ b/tests/test_drain_moment.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from embersill.net.listing import read_listing
 from embersill.net.pool import PooledConnection
 from tests.bed import Bed, request, roomy_settings, run, running
@@ -83,14 +83,14 @@
         async with running(backends=4) as bed:
             drained: list[str] = []
 
-            def rejects(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            def rejects(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 """Delivers the list just before the rejection that causes a retry; one other still serves."""
                 if drained:
                     return serve(writer, asked)
                 here = next(f"b{n}" for n, b in enumerate(bed.backends) if asked in b.seen)
                 drained.extend([here, *others(bed, here)[:2]])
                 drain(bed, drained, how)
-                writer.write(message(503, b"", "X-Rejected: 1"))
+                writer.write(response_bytes(503, b"", "X-Rejected: 1"))
                 return None
 
             for backend in bed.backends:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -9,7 +9,7 @@
 
 from embersill.control import Gateway
 from embersill.interface import Action, Event, Fail, Request, Send
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from tests.bed import Bed, request, roomy_settings, run, running
 from tests.peers import Step, serve
 
@@ -18,7 +18,7 @@
     return lambda writer, asked: writer.write(text)
 
 
-def closes_connection(writer: asyncio.StreamWriter, asked: Asked) -> None:
+def closes_connection(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
     writer.transport.abort()
 
 
@@ -26,7 +26,7 @@
     """Has the first attempt answered by `step`, whichever backend the module chooses for it."""
     done: list[bool] = []
 
-    def once(writer: asyncio.StreamWriter, asked: Asked) -> None:
+    def once(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
         if done:
             serve(writer, asked)
         else:
@@ -38,9 +38,9 @@
 
 
 @pytest.mark.parametrize(("step", "klass", "status", "attempts"), [
-    (writes(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
-    (writes(message(503)), "extract", 502, 1),
-    (writes(message(500)), "extract", 502, 1),
+    (writes(response_bytes(503, b"", "X-Rejected: 1")), "extract", 200, 2),
+    (writes(response_bytes(503)), "extract", 502, 1),
+    (writes(response_bytes(500)), "extract", 502, 1),
     (writes(b"rubbish\r\n\r\n"), "extract", 502, 1),
     (closes_connection, "extract", 502, 1),
     (closes_connection, "lookup", 200, 2),
--- a/tests/test_framing_answers.py
+++ b/tests/test_framing_answers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from embersill.interface import ListKind, Outcome
-from embersill.lab.peers import message
+from embersill.lab.peers import response_bytes
 from embersill.net.bodies import STREAMING_THRESHOLD
 from embersill.net.discovery import Discovery
 from embersill.net.listing import Listing
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize("end", list(End))
 @pytest.mark.parametrize("lines", named(MALFORMED_LENGTHS))
 def test_an_answer_with_malformed_length_is_a_lost_connection(lines: bytes, end: End) -> None:
-    wires = [answer(lines, body) for body in (BODY, b"", CHUNKS, BODY + message(200, b"second"))]
+    wires = [answer(lines, body) for body in (BODY, b"", CHUNKS, BODY + response_bytes(200, b"second"))]
     deliveries = [split(wire, end) for wire in wires for split in (unsplit, byte_by_byte)]
     deliveries += [unsplit(answer(lines, BODY, status), end) for status in (500, 503)]
     assert first_outcomes(ask_all(deliveries)) == {Outcome.CONNECTION_LOST}
@@ -293,7 +293,7 @@
     lines: bytes, end: End
 ) -> None:
     wire = answer(lines, CHUNKS)
-    ask_all([unsplit(wire, end), byte_by_byte(wire, end), unsplit(wire + message(200, b"second"), end)])
+    ask_all([unsplit(wire, end), byte_by_byte(wire, end), unsplit(wire + response_bytes(200, b"second"), end)])
 
 
 @pytest.mark.parametrize("end", CUTS)
@@ -353,7 +353,7 @@
     wire: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("embersill.net.backends.REUSE_DELAY", 0.25)  # enough even on a busy machine
-    seconds = [wire, message(200, b"second"), message(503, b"", "X-Rejected: 1"), b"H", b"\r\n", b"0\r\n\r\n"]
+    seconds = [wire, response_bytes(200, b"second"), response_bytes(503, b"", "X-Rejected: 1"), b"H", b"\r\n", b"0\r\n\r\n"]
     deliveries = [unsplit(wire + second) for second in seconds]
     deliveries += [split_at(wire + second, [len(wire)]) for second in seconds]
     deliveries += [byte_by_byte(wire + second) for second in seconds]
@@ -399,7 +399,7 @@
 @pytest.mark.parametrize("lines", [b"X-Other: 1", *LENGTHS.values(), *CHUNKED.values()])
 def test_answers_whose_status_allows_no_body_end_with_the_head(status: int, lines: bytes) -> None:
     wire = answer(lines, b"", status)
-    surplus = unsplit(wire + message(200, b"second"))
+    surplus = unsplit(wire + response_bytes(200, b"second"))
     results = ask_all([unsplit(wire), byte_by_byte(wire), unsplit(wire, End.FIN), surplus])
     assert first_outcomes(results) == {Outcome.ERROR}
 
@@ -579,7 +579,7 @@
         backend = await replace_backend(bed)
         deliveries = [
             unsplit(wire), split_at(wire, [STREAMING_THRESHOLD, 2 * STREAMING_THRESHOLD]),
-            unsplit(wire + message(200, b"second")),
+            unsplit(wire + response_bytes(200, b"second")),
         ]
         for number, delivery in enumerate(deliveries):
             seen = read_answer(await ask_once(bed, backend, number, delivery), End.FIN)
--- a/tests/test_framing_properties.py
+++ b/tests/test_framing_properties.py
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from embersill.lab.peers import message
+from embersill.lab.peers import response_bytes
 from tests.bed import Bed, request, running
 from tests.framing_model import (
     AttemptRunner, Delivery, End, RawBackend, State, call_id, check_stream, read_answer, read_answers,
@@ -142,7 +142,7 @@
     wire = head(status, lines) + message_framing.body
     interims = [b"", b"", b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 X\r\nA: b \r\n\r\n"]
     wire = draw(st.sampled_from(interims)) + wire
-    wire += draw(st.sampled_from([b"", b"", message(200, b"second"), b"H"]))
+    wire += draw(st.sampled_from([b"", b"", response_bytes(200, b"second"), b"H"]))
     if draw(st.booleans()):
         wire = wire[:draw(st.integers(0, len(wire)))]
     end = draw(st.sampled_from(list(End)))
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -10,22 +10,22 @@
 
 from embersill.control import CONNECTION_RAISE_INTERVAL
 from embersill.interface import Outcome, PoolSettings
-from embersill.lab.clock import Clock
+from embersill.lab.clock import VirtualClock
 from embersill.lab.counter import CounterService
 from embersill.lab.machine import Machine
-from embersill.lab.network import Way, Weather
-from embersill.lab.node import Attempt, Call, Node
-from embersill.lab.rules import Rules
-from embersill.lab.scenario import BackendForm, Class, Counter, Net, PlanForm
+from embersill.lab.network import GatewayNetwork, NetworkConditions
+from embersill.lab.node import Attempt, ClientTry, ModelGateway
+from embersill.lab.rules import RuleChecker
+from embersill.lab.scenario import BackendConfig, ClassConfig, CounterConfig, NetworkConfig, PlanConfig
 from tests.helpers import SETTINGS, backend, backends, request
 
 GATEWAYS, CONNECTION_LIMIT = 20, 14
 RATE, WORK, LATENCY = 3.0, 0.3, 0.001  # requests a second at each gateway, seconds of work, seconds one way
-READ = Class(name="read", share=1.0, work=WORK, aim=1.0, deadline=4.0)
-SMALL = PlanForm(name="small", share=1.0, rate=1.0, burst=2.0)
+READ = ClassConfig(name="read", share=1.0, work=WORK, aim=1.0, deadline=4.0)
+SMALL = PlanConfig(name="small", share=1.0, rate=1.0, burst=2.0)
 
 
-class CountingNode(Node):
+class CountingNode(ModelGateway):
     """A gateway that counts the requests served by the full backend."""
 
     served_at_full = 0
@@ -39,32 +39,32 @@
     """The gateways, and two backends: a full one and one with room."""
 
     def __init__(self, pool: PoolSettings) -> None:
-        self.clock, self.dice = Clock(100.0), random.Random(3)
+        self.clock, self.dice = VirtualClock(100.0), random.Random(3)
         self.machines = {
             name: self.machine(name, limit) for name, limit in (("full", CONNECTION_LIMIT), ("roomy", 1000))}
-        self.rules = Rules()
-        counter = CounterService(self.clock, Counter())
+        self.rules = RuleChecker()
+        counter = CounterService(self.clock, CounterConfig())
         listed = backends(*map(backend, self.machines))
         self.nodes = []
         for me in range(GATEWAYS):
-            way = Way(Net(same=LATENCY, jitter=0.0), "z", self.dice, Weather())
+            way = GatewayNetwork(NetworkConfig(same=LATENCY, jitter=0.0), "z", self.dice, NetworkConditions())
             settings = replace(SETTINGS, gateway_index=me, gateways=GATEWAYS, pool=pool)
             node = CountingNode(
                 f"n{me}", self.clock, settings, me, way, self.machines, counter, self.rules, 100, 0.25,
                 15.0)
-            node.hear(listed)
+            node.receive_list(listed)
             self.nodes.append(node)
             self.schedule_request(node)
 
     def machine(self, name: str, connection_limit: int) -> Machine:
-        form = BackendForm(cores=1000, slots=1000, handshake_s=0.0, connections=connection_limit)
+        form = BackendConfig(cores=1000, slots=1000, handshake_s=0.0, connections=connection_limit)
         return Machine(self.clock, form, name, "z", 0, 1.0, WORK)
 
-    def schedule_request(self, node: Node) -> None:
+    def schedule_request(self, node: ModelGateway) -> None:
         def send() -> None:
-            number, deadline = node.number(), self.clock.now + 4.0
+            number, deadline = node.next_number(), self.clock.now + 4.0
             asked = replace(request(number), customer=f"c{number}", deadline=deadline)  # below its quota
-            node.take(asked, Call(
+            node.accept(asked, ClientTry(
                 READ, SMALL, WORK, deadline, deadline, lambda: None, lambda outcome, after: None))
             self.schedule_request(node)
 
@@ -90,7 +90,7 @@
     assert sum(n > 0 for n in served) > CONNECTION_LIMIT  # gateways take turns
     refused = full.refused
     assert refused / 90.0 < 1.5 / CONNECTION_RAISE_INTERVAL
-    full.form = msgspec.structs.replace(full.form, connections=1000)
+    full.config = msgspec.structs.replace(full.config, connections=1000)
     fleet.play(30.0)
     served_after = fleet.play(60.0)
     assert full.refused == refused and all(served_after)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 from embersill.interface import (
     ListKind, Outcome, PredecessorEnded, PredecessorState, Refuse, Request, Send, Suspend, TimerExpired,
 )
-from embersill.lab.peers import Asked
+from embersill.lab.peers import HttpMessage
 from embersill.net.handover import SOCKET_NAME, STATE_FILE_NAME, Handover
 from tests.bed import READY, Bed, before, request, roomy_settings, run, running
 from tests.helpers import CAPPED, backend, backends, ended, gateway
@@ -40,7 +40,7 @@
             assert (await idle.ask(request(1, units="8")))[0] == 200
             assert (await idle.ask(request(2, units="8")))[0] == 429  # the token bank here is empty
 
-            async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def late(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 await free.wait()
                 serve(writer, asked)
 
@@ -170,7 +170,7 @@
         async with running(env=env, folder=folder) as bed:
             first, free = bed.program, asyncio.Event()
 
-            async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def late(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 await free.wait()
                 serve(writer, asked)
 
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -87,7 +87,7 @@
                 await bed.discovery.stop()
             else:
                 bed.discovery.silent = True
-                for writer in list(bed.discovery.open):
+                for writer in list(bed.discovery.writers):
                     writer.transport.abort()
             idle = []
             for number in range(3 * limit):  # later ones replace earlier ones
