--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -1,4 +1,4 @@
-"""The laboratory's real mode: processes of the gateway among the model's parts on loopback."""
+"""The laboratory's real mode: gateway processes among simulated peers on loopback."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 from embersill.lab.peers import HOST, read_message
 from embersill.lab.scenario import build_scenario
 from tests.peers import SOON
-from tests.test_lab import lab, played, small
+from tests.test_lab import play, run_lab, small_scenario
 from tests.test_program import RUN
 
 
 def real_scenario(**more: Any) -> dict[str, Any]:
-    told = small(seconds=5, **more)
-    told["fleet"].update(gateways=2, backends=4)
-    return told
+    scenario = small_scenario(seconds=5, **more)
+    scenario["fleet"].update(gateways=2, backends=4)
+    return scenario
 
 
 @pytest.fixture(autouse=True)
-def run_here(monkeypatch: pytest.MonkeyPatch) -> None:
+def run_this_checkout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("EMBERSILL_RUN", RUN)
 
 
-def test_real_gateways_serve_the_same_clients_as_the_models(tmp_path: pathlib.Path) -> None:
-    told = real_scenario()
-    found, modelled = real.play(build_scenario(told), 1, tmp_path, None), played(told)
-    assert not found["breaches"], found["first_breaches"]
-    assert found["requests"] == modelled["requests"] > 100
-    assert sum(found["ends"].values()) == found["requests"]
-    assert found["served"] > 0.8 and found["attempts"]["served"] > 50  # the log's count; the share is noisy
-    assert found["counter"]["served"] > 0 and found["handshakes"] > 0
+def test_real_gateways_serve_the_same_requests_as_simulated_ones(tmp_path: pathlib.Path) -> None:
+    scenario = real_scenario()
+    report, model_report = real.play(build_scenario(scenario), 1, tmp_path, None), play(scenario)
+    assert not report["breaches"], report["first_breaches"]
+    assert report["requests"] == model_report["requests"] > 100
+    assert sum(report["ends"].values()) == report["requests"]
+    assert report["served"] > 0.8 and report["attempts"]["served"] > 50  # from the logs; the share is noisy
+    assert report["counter"]["served"] > 0 and report["handshakes"] > 0
 
 
-def test_real_gateways_bear_what_goes_wrong_without_a_breach(tmp_path: pathlib.Path) -> None:
+def test_real_gateways_break_no_rule_under_faults(tmp_path: pathlib.Path) -> None:
     kinds = [("kill", "gateways", 0.5), ("release", "backends", 0.5), ("reset", "backends", 0.5),
              ("hang", "backends", 0.25), ("counter", "backends", 1.0), ("list", "backends", 1.0)]
-    told = real_scenario(faults=[
+    scenario = real_scenario(faults=[
         {"kind": kind, "of": of, "part": part, "at": 1.0 + 0.3 * n, "lasts": 1.0}
         for n, (kind, of, part) in enumerate(kinds)])
-    found = real.play(build_scenario(told), 1, tmp_path, None)
-    assert not found["breaches"], found["first_breaches"]
-    assert sum(found["ends"].values()) == found["requests"] > 100
-    assert len(list(tmp_path.glob("*.log"))) == 3  # two gateways, one of them started again
+    report = real.play(build_scenario(scenario), 1, tmp_path, None)
+    assert not report["breaches"], report["first_breaches"]
+    assert sum(report["ends"].values()) == report["requests"] > 100
+    assert len(list(tmp_path.glob("*.log"))) == 3  # two gateways, one of them restarted
 
 
-def told_of(found: dict[str, Any]) -> set[str]:
-    return {breach["rule"] for breach in found["first_breaches"]}
+def reported_rules(report: dict[str, Any]) -> set[str]:
+    return {breach["rule"] for breach in report["first_breaches"]}
 
 
-ROGUE = """
+FAULTY_GATEWAY = """
 import asyncio, json, os
-told = json.load(open(os.environ["RELAY_CONFIG"]))
-backends = [entry["hostPort"].split(":") for entry in told["known"]["instances"]]
+configuration = json.load(open(os.environ["RELAY_CONFIG"]))
+backends = [entry["hostPort"].split(":") for entry in configuration["known"]["instances"]]
 
 async def pass_on(text, place):
     reader, writer = await asyncio.open_connection(*backends[place])
@@ -92,7 +92,7 @@
     writer.close()
 
 async def main():
-    host, port = told["listen"].split(":")
+    host, port = configuration["listen"].split(":")
     server = await asyncio.start_server(serve, host, int(port))
     await asyncio.Event().wait()
 
@@ -106,25 +106,25 @@
     ("made_up", "own answers"), ("of_its_own", "own requests"), ("twice", "one at a time"),
     ("cut_short", "one answer"),
 ])
-def test_a_rogue_gateway_trips_the_rule_that_it_breaks(
+def test_a_faulty_gateway_is_reported_with_the_rule_that_it_breaks(
     what: str, rule: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    program = tmp_path / "rogue.py"
-    program.write_text(ROGUE % f"{what}(head, writer)")
+    program = tmp_path / "faulty_gateway.py"
+    program.write_text(FAULTY_GATEWAY % f"{what}(head, writer)")
     monkeypatch.setenv("EMBERSILL_RUN", f"exec {shlex.quote(sys.executable)} {program}")
-    told = real_scenario()
-    told["seconds"] = 1
-    for klass in told["classes"]:
-        klass["deadline"] = 2.0
-    found = real.play(build_scenario(told), 1, tmp_path, None)
-    assert told_of(found) == {rule} and found["breaches"] > 5, found["first_breaches"]
+    scenario = real_scenario()
+    scenario["seconds"] = 1
+    for request_class in scenario["classes"]:
+        request_class["deadline"] = 2.0
+    report = real.play(build_scenario(scenario), 1, tmp_path, None)
+    assert reported_rules(report) == {rule} and report["breaches"] > 5, report["first_breaches"]
 
 
 @pytest.mark.parametrize(("run", "why"), [
     ("echo it hurts >&2; exit 3", "ended with 3; its log: it hurts"),
     ("sleep 1; exit 0", "ended with 0; its log: empty"),
 ])
-def test_a_gateway_that_ends_by_itself_makes_the_run_void(
+def test_a_gateway_that_exits_unexpectedly_makes_the_run_void(
     run: str, why: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("EMBERSILL_RUN", run)
@@ -132,44 +132,44 @@
         real.play(build_scenario(real_scenario()), 1, tmp_path, None)
 
 
-def test_the_command_plays_for_real_and_keeps_the_logs(tmp_path: pathlib.Path) -> None:
-    words = ("--real", "--set", "fleet.gateways=2", "--set", "fleet.backends=3", "--set", "seconds=2")
-    done = lab("run", "calm", *words, "--out", str(tmp_path))
+def test_the_command_plays_real_gateways_and_keeps_the_logs(tmp_path: pathlib.Path) -> None:
+    arguments = ("--real", "--set", "fleet.gateways=2", "--set", "fleet.backends=3", "--set", "seconds=2")
+    done = run_lab("run", "calm", *arguments, "--out", str(tmp_path))
     assert done.returncode == 0 and "served" in done.stdout, done.stderr
     logs = list((tmp_path / "logs").glob("calm-1-*/*.log"))
     assert len(logs) == 2 and "attempt served" in logs[0].read_text()
 
 
-def test_the_peers_speak_as_the_protocol_says(tmp_path: pathlib.Path) -> None:
-    # what no gateway here does: an id of nobody, calls of other kinds, a watch that times out
-    async def ask(address: str, text: bytes, many: int = 0) -> bytes:
-        """So many bytes of the answer, or the body of a message."""
+def test_the_peers_follow_the_protocol(tmp_path: pathlib.Path) -> None:
+    # requests that the gateways above don't send: an unknown id, other calls, a watch that times out
+    async def ask(address: str, text: bytes, size: int = 0) -> bytes:
+        """`size` bytes of the answer, or the body of a message."""
         reader, writer = await asyncio.open_connection(*address.split(":"))
         writer.write(text)
         async with asyncio.timeout(SOON):
-            answer = await reader.readexactly(many) if many else (await read_message(reader))[2]
+            answer = await reader.readexactly(size) if size else (await read_message(reader))[2]
         writer.close()
         return answer
 
     async def test() -> None:
         world = real.RealWorld(build_scenario(real_scenario()), 1, tmp_path, None)
-        server, agent, counting = world.servers["b0"], world.agents[0], world.counting
-        await server.begin()
-        await asyncio.gather(*(other.begin() for name, other in world.servers.items() if name != "b0"))
+        server, agent, counter_server = world.servers["b0"], world.agents[0], world.counter_server
+        await server.listen()
+        await asyncio.gather(*(other.listen() for name, other in world.servers.items() if name != "b0"))
         await agent.start()
-        await counting.start()
+        await counter_server.start()
         try:
             unknown = b"GET /api HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
             assert (await ask(server.address, unknown, 12)).endswith(b"400")
             assert [breach.rule for breach in world.rules.breaches] == ["own requests"]
             calls = b"*1\r\n$4\r\nPING\r\n*4\r\n$7\r\nCNT.ADD\r\n$1\r\nn\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n"
-            assert await ask(counting.address, calls, 17) == b"+PONG\r\n$4\r\n-2.5\r\n"
+            assert await ask(counter_server.address, calls, 17) == b"+PONG\r\n$4\r\n-2.5\r\n"
             watch = b"GET /v1/endpoints?since=2&timeout_ms=50 HTTP/1.1\r\n\r\n"
             assert b'"instances": []' in await ask(agent.address, watch)
             server.end_process()
             with pytest.raises(OSError):
                 await ask(f"{HOST}:{server.port}", unknown)
-            await server.begin()
+            await server.listen()
             assert await ask(f"{HOST}:{server.port}", unknown, 1)
         finally:
             await world.stop()
--- a/tests/test_ops_real.py
+++ b/tests/test_ops_real.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from embersill.lab.peers import HOST, Asked, Peer, free_port, read_message
+from embersill.lab.peers import HOST, HttpMessage, Peer, free_port, read_message
 from tests.bed import READY, request
 from tests.lists import Caller, process, run
 from tests.peers import SOON, BackendPeer
@@ -102,7 +102,7 @@
             assert code == 0 and "empty" in err, err
             seen = len(fleet.backends[0].seen)
             await load.more(200)
-            assert len(fleet.backends[0].seen) == seen and not fleet.backends[0].open  # idle ones are closed
+            assert len(fleet.backends[0].seen) == seen and not fleet.backends[0].writers  # idle ones are closed
             code, out, _ = await fleet.ops("drain", "backend", "b0", "--wait", "--json")
             assert code == 0 and json.loads(out)["result"] == "done"  # said again, it is done
             assert (await fleet.ops("undrain", "backend", "b0"))[0] == 0
@@ -125,7 +125,7 @@
         async with site(tmp_path) as fleet:
             free = asyncio.Event()
 
-            async def drips(writer: asyncio.StreamWriter, got: Asked) -> None:
+            async def drips(writer: asyncio.StreamWriter, got: HttpMessage) -> None:
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 300000\r\n\r\n" + b"x" * 100_000)
                 left = 200_000
                 while not free.is_set():  # far longer than an attempt that is not yet answered may take
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,7 +19,7 @@
 import pytest
 
 from embersill.__main__ import ACCEPT_AFTER_SIGTERM, FINAL_READ_TIME
-from embersill.lab.peers import HOST, Asked, free_port
+from embersill.lab.peers import HOST, HttpMessage, free_port
 from embersill.net.clients import EVICTABLE_AFTER
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import SOON, DiscoveryPeer, serve
@@ -118,7 +118,7 @@
         async with process(tmp_path) as (bed, child):
             free = asyncio.Event()
 
-            async def late(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def late(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 await free.wait()
                 serve(writer, asked)
 
@@ -236,7 +236,7 @@
         async with process(tmp_path, console=f"{HOST}:{console}", lame_duck_s=0.2) as (bed, child):
             ended = asyncio.Event()
 
-            async def drips(writer: asyncio.StreamWriter, got: Asked) -> None:
+            async def drips(writer: asyncio.StreamWriter, got: HttpMessage) -> None:
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\n" + b"x" * 80_000)
                 left = 20_000
                 while not ended.is_set():
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -8,7 +8,7 @@
 import pytest
 
 from embersill.interface import Outcome
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from embersill.net.backends import AttemptResult, Attempt, BackendConnection, Dialer
 from embersill.net.bodies import closed_by_peer
 from embersill.net.pool import Address, Pool
@@ -31,9 +31,9 @@
     return request(number, "report", budget=20.0)
 
 
-async def fail(writer: asyncio.StreamWriter, asked: Asked) -> None:
+async def fail(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
     """Fails and closes the connection, so that a retry needs a new one at any backend."""
-    writer.write(message(500, b"", "Connection: close"))
+    writer.write(response_bytes(500, b"", "Connection: close"))
 
 
 def attempts_received(bed: Bed) -> int:
@@ -72,16 +72,16 @@
         async with running(1, env=keyed_settings()) as bed:
             free = asyncio.Event()
 
-            async def hold(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def hold(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 await free.wait()
-                writer.write(message(200, b"served"))
+                writer.write(response_bytes(200, b"served"))
 
-            async def fail_when_others_wait(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def fail_when_others_wait(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 bed.program.dialer.pool.max_connections = 1
                 other.send(request(2, budget=20.0))
                 while not any(p.waiting for p in bed.program.dialer.pool.backends.values()):
                     await asyncio.sleep(0)
-                writer.write(message(500, b""))
+                writer.write(response_bytes(500, b""))
 
             client, other = await bed.client(), await bed.client()
             bed.backends[0].script = [fail_when_others_wait, hold]
@@ -120,7 +120,7 @@
         async with running(1, env=keyed_settings()) as bed:
             peer, ends = bed.backends[0], list[AttemptResult]()
             client = await bed.client()
-            peer.script = [lambda writer, asked: writer.write(message(200, b""))]
+            peer.script = [lambda writer, asked: writer.write(response_bytes(200, b""))]
             assert (await client.ask(request(1)))[0] == 200
             pool: Pool = bed.program.dialer.pool
             connection = next(c for c in pool.connections if isinstance(c, BackendConnection))
@@ -141,9 +141,9 @@
 def test_an_unsafe_request_that_may_have_run_is_not_retried(end: str) -> None:
     async def test() -> None:
         async with running(2, env=roomy_settings()) as bed:
-            async def ends(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def ends(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 if end == "error":
-                    writer.write(message(500, b""))
+                    writer.write(response_bytes(500, b""))
                 elif end == "reset":
                     writer.transport.abort()
 
@@ -164,14 +164,14 @@
             first: list[asyncio.StreamWriter] = []
             ended: list[bool] = []
 
-            async def malformed(writer: asyncio.StreamWriter, asked: Asked) -> None:
+            async def malformed(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
                 if not first:
                     first.append(writer)
                     writer.write(text)
                 else:
                     sock = first[0].get_extra_info("socket")
                     ended.append(sock is None or bool(closed_by_peer([sock.fileno()])))
-                    writer.write(message(200, b"served"))
+                    writer.write(response_bytes(200, b"served"))
 
             for backend in bed.backends:
                 backend.script = [malformed, malformed]
--- a/tests/test_scale_command.py
+++ b/tests/test_scale_command.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from embersill.lab.__main__ import parser
+from embersill.lab.__main__ import make_parser
 from embersill.lab.scale import aggregators
 from embersill.lab.scale.axes import SMALL_AXES, SMALL_BASE, RunSettings, plan_plays
 from embersill.lab.scale.command import BadScaleUse, check_room, estimate, run_command
@@ -109,7 +109,7 @@
 def test_a_bad_argument_is_one_line_and_exit_2(
     arguments: tuple[str, ...], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    code = run_command(parser().parse_args(["scale", "--small", *arguments]))
+    code = run_command(make_parser().parse_args(["scale", "--small", *arguments]))
     output, errors = capsys.readouterr()
     assert (code, output) == (2, "")
     assert arguments[0] in one_line(errors)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,7 +12,7 @@
 import pytest
 
 from embersill.__main__ import KILL_DELAY, KILL_MARGIN, MAX_COUNTED_DEADLINE, Program
-from embersill.lab.peers import Asked
+from embersill.lab.peers import HttpMessage
 from embersill.net.clients import ACCEPT_BATCH, EVICTABLE_AFTER
 from embersill.net.driver import MIN_REMAINING_TIME
 from tests.bed import READY, Bed, before, request, roomy_settings, with_bed
@@ -25,7 +25,7 @@
     return env
 
 
-async def silent(writer: Any, asked: Asked) -> None:
+async def silent(writer: Any, asked: HttpMessage) -> None:
     await asyncio.sleep(SOON)
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -13,7 +13,7 @@
 import pytest
 
 from embersill.interface import BackendStatus
-from embersill.lab.peers import message
+from embersill.lab.peers import response_bytes
 from embersill.net.discovery import (
     FLEET_CALL_RATE, JITTER, MAX_CALL_INTERVAL, MAX_UNSPREAD_GATEWAYS, MAX_WATCH_MS, MIN_WATCH_SHARE,
     OVERLOAD_BACKOFF, Discovery, Overloaded,
@@ -304,11 +304,11 @@
             case "reset":
                 connection.abort()
             case "no room":
-                connection.answer(message(503))
+                connection.answer(response_bytes(503))
             case "bad":
-                connection.answer(message(200, b"[]"))
+                connection.answer(response_bytes(200, b"[]"))
             case "whole":  # of a generation before the change, as from a lagging replica
-                connection.answer(message(200, b'{"generation":0,"reset":true,"instances":[]}'))
+                connection.answer(response_bytes(200, b'{"generation":0,"reset":true,"instances":[]}'))
 
     def accept_again(self) -> None:
         self.refuses = False
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.lab.peers import message
+from embersill.lab.peers import response_bytes
 from embersill.net.trace import BURST_LINES, LoopLag, Trace, make_trace
 from tests.bed import Bed, request, with_bed
 
@@ -26,7 +26,7 @@
         driver = bed.program.driver
         driver.use_trace(Trace(driver.clock))
         bed.backends[0].script = [
-            lambda writer, asked: writer.write(message(503, b"", "X-Rejected: 1"))] * 2
+            lambda writer, asked: writer.write(response_bytes(503, b"", "X-Rejected: 1"))] * 2
         client = await bed.client()
         assert (await client.ask(request(7)))[0] == 200
         client.reset()
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from embersill.lab.peers import message
+from embersill.lab.peers import response_bytes
 from embersill.net.discovery import Discovery, DiscoveryConnection
 from embersill.net.listing import Address, Listing
 from tests import peers
@@ -133,7 +133,7 @@
         if connection.silent or self.down and self.loses_pending:
             return
         if self.calls_per_second and sum(now - 1.0 < at for at in self.accepted_at) >= self.calls_per_second:
-            return connection.answer(message(503))
+            return connection.answer(response_bytes(503))
         self.accepted_at.append(now)
         found, wait = re.search(r"since=(\d+)", target), re.search(r"timeout_ms=(\d+)", target)
         watch = Watch(connection, int(found[1]) if found else None)
@@ -148,7 +148,7 @@
         if watch in self.watches and not self.down:
             self.watches.remove(watch)
             if not (watch.connection.silent or watch.connection.closed):
-                watch.connection.answer(message(200, self.listing(watch.since)))
+                watch.connection.answer(response_bytes(200, self.listing(watch.since)))
 
     def listing(self, since: int | None) -> bytes:
         is_full = (since is None or since > self.generation) and not self.always_changes
