--- a/embersill/lab/soak/backends.py
+++ b/embersill/lab/soak/backends.py
@@ -14,10 +14,10 @@
 
 from embersill.lab.soak.observations import Attempt, AttemptEnd, ClientRequest
 
-LOOPBACK = b"lo"
-FIRST_NETWORK = 64  # backend addresses begin at 127.64.0.1
+LOOPBACK_DEVICE = b"lo"
+FIRST_SUBNET = 64  # backend addresses begin at 127.64.0.1
 BACKLOG = 4096
-REJECTED = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+REJECTED_RESPONSE = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Behaviour(Enum):
@@ -40,35 +40,35 @@
 
     name: str
     address: str
-    work: float = 0.01  # seconds for a request
+    mean_work_time: float = 0.01  # seconds for a request
     behaviour: Behaviour = Behaviour.SERVE
     attempts: list[Attempt] = field(default_factory=list)
 
 
-def address_of(number: int) -> str:
+def backend_address(number: int) -> str:
     """The address of the n-th backend; distinct for up to four million of them."""
     place = number + 1
-    return f"127.{FIRST_NETWORK + (place >> 16)}.{place >> 8 & 255}.{place & 255}"
+    return f"127.{FIRST_SUBNET + (place >> 16)}.{place >> 8 & 255}.{place & 255}"
 
 
 class BackendServer:
     """Accepts for all backends; whom a connection was meant for is told by its local address."""
 
     def __init__(self, names: list[str], requests: dict[str, ClientRequest], seed: int = 0) -> None:
-        self.models = {name: BackendModel(name, address_of(n)) for n, name in enumerate(names)}
+        self.models = {name: BackendModel(name, backend_address(n)) for n, name in enumerate(names)}
         self.by_address = {model.address: model for model in self.models.values()}
-        self.requests, self.random = requests, random.Random(seed)
-        self.unknown: list[str] = []  # call ids that no client sent
-        self.attempted: Callable[[ClientRequest, Attempt], None] = lambda request, attempt: None
+        self.requests, self.rng = requests, random.Random(seed)
+        self.unknown_call_ids: list[str] = []  # call ids that no client sent
+        self.on_attempt: Callable[[ClientRequest, Attempt], None] = lambda request, attempt: None
         self.port = 0
         self.connections: set[BackendProtocol] = set()
-        self.accepted = 0  # connections so far
+        self.accepted_count = 0  # connections so far
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listens on the loopback device alone, whatever address of it is called."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
         listener.bind(("0.0.0.0", 0))
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: BackendProtocol(self), sock=listener, backlog=BACKLOG)
@@ -106,7 +106,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.model = self.server.by_address[transport.get_extra_info("sockname")[0]]
         self.server.connections.add(self)
-        self.server.accepted += 1
+        self.server.accepted_count += 1
 
     def data_received(self, data: bytes) -> None:
         if not self.received:
@@ -118,14 +118,14 @@
         headers = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
         if len(body) >= int(headers.get(b"content-length", b"0")):
             self.received = b""
-            self.request_came(headers)
+            self.on_request(headers)
 
-    def request_came(self, headers: dict[bytes, bytes]) -> None:
+    def on_request(self, headers: dict[bytes, bytes]) -> None:
         assert self.transport is not None
         call_id = headers.get(b"x-call-id", b"").decode()
         request = self.server.requests.get(call_id)
         if request is None:
-            self.server.unknown.append(call_id)
+            self.server.unknown_call_ids.append(call_id)
             return self.answer(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n", AttemptEnd.ANSWERED)
         self.attempt = attempt = Attempt(
             request.gateway,
@@ -135,10 +135,10 @@
             float(headers[b"x-budget"]),
             descriptor=self.transport.get_extra_info("socket").fileno(),
         )
-        self.server.attempted(request, attempt)
+        self.server.on_attempt(request, attempt)
         request.attempts.append(attempt)
         self.model.attempts.append(attempt)
-        delay = self.model.work * self.server.random.expovariate(1.0)
+        delay = self.model.mean_work_time * self.server.rng.expovariate(1.0)
         self.loop.call_later(delay, self.respond, call_id, attempt)
         return None
 
@@ -151,7 +151,7 @@
             case Behaviour.SERVE:
                 self.answer(whole, AttemptEnd.ANSWERED)
             case Behaviour.REJECT:
-                self.answer(REJECTED, AttemptEnd.REJECTED)
+                self.answer(REJECTED_RESPONSE, AttemptEnd.REJECTED)
             case Behaviour.FAIL:
                 self.answer(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", AttemptEnd.ANSWERED)
             case Behaviour.HANG:
--- a/embersill/lab/soak/checks.py
+++ b/embersill/lab/soak/checks.py
@@ -7,22 +7,22 @@
 from dataclasses import dataclass
 from math import inf, sqrt
 
-from embersill.lab.soak.clients import BAD_CLIENT_OWED, LATEST_ANSWER, BadClient
+from embersill.lab.soak.clients import BAD_CLIENT_TIMEOUT, MAX_ANSWER_DELAY, BadClient
 from embersill.lab.soak.deployment import GRACE, Deployment
-from embersill.lab.soak.discovery_agent import Told
+from embersill.lab.soak.discovery_agent import DrainHistory
 from embersill.lab.soak.lateness import Lateness
 from embersill.lab.soak.observations import Attempt, AttemptEnd, ClientRequest, Violation
 
 TIME_LIMIT_SLACK = 0.05  # seconds, by the protocol
-AFTER_CLOSE = 0.1  # seconds after a client's close in which an attempt may still begin
+MAX_START_AFTER_CLOSE = 0.1  # seconds after a client's close in which an attempt may still begin
 BUDGET_SLACK = 0.15  # seconds that a backend may be told beyond what the client has left
-CROSSING = 0.1  # seconds before a close in which a request may have crossed it unread
-KILL_EXCUSES_UNTIL = 0.7  # seconds after SIGTERM: what came later is lost where SIGKILL finds it unanswered
-AFTER_RELOAD = 4.0  # seconds after SIGHUP at which what discovery has counts as told
-LEAST_SERVED = 0.2  # of what a policy that sees the true stores could have served, on each day
-ENOUGH = 20  # requests that could have been served, from which a share says something
-LEAST_BUDGET = 0.3  # seconds that a client waits, below which it may get nothing
-FEW = 30  # calls below which the slow-start budget allows three roots and three
+CROSSING_WINDOW = 0.1  # seconds before a close in which a request may have crossed it unread
+KILL_EXCUSED_WITHIN = 0.7  # seconds after SIGTERM: what came later is lost where SIGKILL finds it unanswered
+RELOAD_TIME = 4.0  # seconds after SIGHUP at which what discovery has counts as told
+MIN_SERVED_SHARE = 0.2  # of what a policy that sees the true stores could have served, on each day
+MIN_SERVABLE = 20  # requests that could have been served, from which a share says something
+MIN_BUDGET = 0.3  # seconds that a client waits, below which it may get nothing
+SMALL_ALLOWANCE = 30  # calls below which the slow-start budget allows three roots and three
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,61 +37,61 @@
 
 
 @dataclass(slots=True)
-class SeenPlay:
+class PlayRecord:
     """All that the checks look at."""
 
     deployment: Deployment
     requests: Iterable[ClientRequest]
     attempts: dict[str, list[Attempt]]  # by backend
-    starts: dict[str, list[float]]  # by backend: its cold starts
-    told: dict[int, Told]  # by gateway
+    cold_starts: dict[str, list[float]]  # by backend: its cold starts
+    drain_histories: dict[int, DrainHistory]  # by gateway
     reloads: dict[int, list[float]]
     lives: list[ProcessLife]
     bad_clients: list[BadClient]
     backend_rate: float  # requests a second that a warm backend can do
     lateness: Lateness  # of the peers themselves
-    groups: dict[str, dict[str, str]]  # by scope and backend: where repeats are dropped
+    repeat_groups: dict[str, dict[str, str]]  # by scope and backend: where repeats are dropped
 
 
-def life_at(seen: SeenPlay, request: ClientRequest) -> ProcessLife | None:
+def life_at(seen: PlayRecord, request: ClientRequest) -> ProcessLife | None:
     """The newest process of its gateway as it was written."""
     lives = (x for x in reversed(seen.lives) if x.gateway == request.gateway)
     return next((life for life in lives if life.ready_at <= request.written_at), None)
 
 
-def check_answer(seen: SeenPlay, request: ClientRequest) -> Violation | None:
+def check_answer(seen: PlayRecord, request: ClientRequest) -> Violation | None:
     """One whole final answer in time, unless its client left or its gateway was killed."""
-    if request.written_at == inf or request.left_at < request.written_at + request.budget + LATEST_ANSWER:
+    if request.written_at == inf or request.disconnected_at < request.written_at + request.budget + MAX_ANSWER_DELAY:
         return None
     life = life_at(seen, request)
-    due = request.written_at + request.budget + LATEST_ANSWER + TIME_LIMIT_SLACK
-    due += seen.lateness.around(request.written_at, due)
+    due = request.written_at + request.budget + MAX_ANSWER_DELAY + TIME_LIMIT_SLACK
+    due += seen.lateness.maximum_near(request.written_at, due)
     if life is not None and life.killed and life.ended_at < due:
-        if request.written_at < life.terminated_at + KILL_EXCUSES_UNTIL or life.terminated_at == inf:
+        if request.written_at < life.terminated_at + KILL_EXCUSED_WITHIN or life.terminated_at == inf:
             return None
-        if life.ended_at - request.written_at < CROSSING + seen.lateness.around(life.ended_at):
+        if life.ended_at - request.written_at < CROSSING_WINDOW + seen.lateness.maximum_near(life.ended_at):
             return None  # it may not have been read
     if request.closed_at < inf:
-        crossing = CROSSING + seen.lateness.around(request.closed_at)
+        crossing = CROSSING_WINDOW + seen.lateness.maximum_near(request.closed_at)
         crossed = request.closed_at - request.written_at < crossing and not request.attempts
         return None if crossed else Violation("lost", request.call_id, "closed with no whole answer")
     if request.answered_at > due:
-        return Violation("lost", request.call_id, f"no answer {LATEST_ANSWER} s after its time")
-    if not request.whole:
+        return Violation("lost", request.call_id, f"no answer {MAX_ANSWER_DELAY} s after its time")
+    if not request.complete:
         return Violation("lost", request.call_id, "served with what no backend made")
     return None
 
 
-def check_attempts(seen: SeenPlay, request: ClientRequest) -> Iterable[Violation]:
+def check_attempts(seen: PlayRecord, request: ClientRequest) -> Iterable[Violation]:
     """When attempts began, what they told, and whether a further one was allowed."""
     klass = next(c for c in seen.deployment.classes if c.repeats == request.repeats)
     for place, attempt in enumerate(request.attempts):
-        late = seen.lateness.around(attempt.first_byte_at, attempt.whole_at, request.left_at)
+        late = seen.lateness.maximum_near(attempt.first_byte_at, attempt.received_at, request.disconnected_at)
         slack = TIME_LIMIT_SLACK + late
-        if attempt.first_byte_at > request.left_at + AFTER_CLOSE + slack:
-            after = attempt.first_byte_at - request.left_at
+        if attempt.first_byte_at > request.disconnected_at + MAX_START_AFTER_CLOSE + slack:
+            after = attempt.first_byte_at - request.disconnected_at
             yield Violation("lost", request.call_id, f"attempt {place} began {after:.3f} s after the close")
-        left = request.written_at + request.budget - attempt.whole_at
+        left = request.written_at + request.budget - attempt.received_at
         if attempt.budget > left + BUDGET_SLACK + slack:
             what = f"told {attempt.budget:.3f} s with {left:.3f} s left"
             yield Violation("deadline", request.call_id, what)
@@ -101,31 +101,31 @@
         if request.repeats == "once":
             yield Violation("repeat", request.call_id, f"attempt {place} of a class that is unsafe to repeat")
         elif request.repeats == "by_key":
-            groups, first = seen.groups[klass.scope], before[0]
+            groups, first = seen.repeat_groups[klass.scope], before[0]
             if groups[first.backend] != groups[attempt.backend]:
                 yield Violation("repeat", request.call_id, f"attempt {place} in another {klass.scope}")
-            if attempt.whole_at > first.whole_at + klass.window + slack:
+            if attempt.received_at > first.received_at + klass.window + slack:
                 yield Violation("repeat", request.call_id, f"attempt {place} after the window for repeats")
 
 
-def check_drains(seen: SeenPlay) -> Iterable[Violation]:
+def check_drains(seen: PlayRecord) -> Iterable[Violation]:
     """No send after the grace to what a gateway was told to drain or to be gone."""
     for backend, attempts in seen.attempts.items():
         for attempt in attempts:
             gateway = attempt.gateway
-            for end in seen.told[gateway].ends.get(backend, ()):
-                reloads = [hup for hup in seen.reloads[gateway] if hup <= end.at < hup + AFTER_RELOAD]
-                told_at = max([end.at, *(hup + AFTER_RELOAD for hup in reloads)])
+            for end in seen.drain_histories[gateway].periods.get(backend, ()):
+                reloads = [hup for hup in seen.reloads[gateway] if hup <= end.started_at < hup + RELOAD_TIME]
+                told_at = max([end.started_at, *(hup + RELOAD_TIME for hup in reloads)])
                 late = attempt.first_byte_at - told_at - GRACE - TIME_LIMIT_SLACK
-                late -= seen.lateness.around(told_at, attempt.first_byte_at)
-                if late > 0 and attempt.first_byte_at < end.until:
+                late -= seen.lateness.maximum_near(told_at, attempt.first_byte_at)
+                if late > 0 and attempt.first_byte_at < end.ended_at:
                     yield Violation("drain", "", f"{backend} from gateway {gateway}, {late:.3f} s late")
 
 
-def check_slow_starts(seen: SeenPlay) -> Iterable[Violation]:
+def check_slow_starts(seen: PlayRecord) -> Iterable[Violation]:
     """The budget of a cold backend, over all processes."""
     form = seen.deployment
-    for backend, starts in seen.starts.items():
+    for backend, starts in seen.cold_starts.items():
         for start in starts:
             times = sorted(
                 a.first_byte_at
@@ -139,14 +139,14 @@
                 age = times[first] - start
                 share = min(1.0, form.cold_from + (1.0 - form.cold_from) * age / form.warm_within)
                 allowed = form.fall_multiple * share * seen.backend_rate * form.overload_for
-                chance = 3.0 * sqrt(allowed) + 3.0 if allowed < FEW else 2.0 * sqrt(allowed) + 2.0
+                chance = 3.0 * sqrt(allowed) + 3.0 if allowed < SMALL_ALLOWANCE else 2.0 * sqrt(allowed) + 2.0
                 calls = place - first + 1
                 if calls > allowed + chance:
                     yield Violation("failback", "", f"{backend}: {calls} calls, {allowed:.1f} allowed")
                     break
 
 
-def check_ceilings(seen: SeenPlay) -> Iterable[Violation]:
+def check_ceilings(seen: PlayRecord) -> Iterable[Violation]:
     """Each customer's store over all gateways: a request takes its unit when its first attempt is whole."""
     form = seen.deployment
     rate, depth = form.ceiling * form.rate, form.ceiling * form.burst
@@ -155,7 +155,7 @@
     takes: dict[str, list[tuple[float, str]]] = defaultdict(list)
     for request in seen.requests:
         if request.attempts:
-            takes[request.customer].append((request.attempts[0].whole_at, request.call_id))
+            takes[request.customer].append((request.attempts[0].received_at, request.call_id))
     slack = max(0.1 * depth, 1.0) + 0.15 * rate
     for times in takes.values():
         level, before = depth, 0.0
@@ -167,17 +167,17 @@
                 break
 
 
-def check_bad_clients(seen: SeenPlay) -> Iterable[Violation]:
+def check_bad_clients(seen: PlayRecord) -> Iterable[Violation]:
     for bad in seen.bad_clients:
-        took = bad.ended - bad.began
-        if took > BAD_CLIENT_OWED + TIME_LIMIT_SLACK + seen.lateness.around(bad.began, bad.ended):
+        took = bad.ended_at - bad.started_at
+        if took > BAD_CLIENT_TIMEOUT + TIME_LIMIT_SLACK + seen.lateness.maximum_near(bad.started_at, bad.ended_at):
             what = f"gateway {bad.gateway} gave neither error nor close in {took:.2f} s"
             yield Violation("bad input", "", what)
         elif bad.status and not 400 <= bad.status < 600:
             yield Violation("bad input", "", f"gateway {bad.gateway} answered {bad.status}")
 
 
-def could_be_served(seen: SeenPlay) -> list[ClientRequest]:
+def servable_requests(seen: PlayRecord) -> list[ClientRequest]:
     """Requests that a policy with a view of the true stores could have served.
 
     Those inside quota and ceiling whose client waited, and whose gateway was up all the time.
@@ -197,34 +197,34 @@
         moments[request.customer] = request.written_at
         for place, (rate, burst) in enumerate(rates):
             levels[place] = min(burst, levels[place] + rate * since)
-        if min(levels) < 1.0 or not could_wait(seen, request):
+        if min(levels) < 1.0 or not had_time(seen, request):
             continue
         stores[request.customer] = [level - 1.0 for level in levels]
         found.append(request)
     return found
 
 
-def could_wait(seen: SeenPlay, request: ClientRequest) -> bool:
+def had_time(seen: PlayRecord, request: ClientRequest) -> bool:
     """Whether its client waited for long enough, and its gateway was not ended meanwhile."""
     end = request.written_at + request.budget
-    if request.budget < LEAST_BUDGET or request.left_at < end:
+    if request.budget < MIN_BUDGET or request.disconnected_at < end:
         return False
     life = life_at(seen, request)
     return life is not None and min(life.terminated_at, life.ended_at) >= end
 
 
-def check_served(seen: SeenPlay) -> Iterable[Violation]:
+def check_served(seen: PlayRecord) -> Iterable[Violation]:
     """A part of what could be served is served, in all and of each class: refusing all keeps no rule."""
-    could = Counter(request.repeats for request in could_be_served(seen))
-    served = Counter(request.repeats for request in seen.requests if request.status == 200 and request.whole)
+    could = Counter(request.repeats for request in servable_requests(seen))
+    served = Counter(request.repeats for request in seen.requests if request.status == 200 and request.complete)
     counts = {klass.name: (served[klass.repeats], could[klass.repeats]) for klass in seen.deployment.classes}
     counts["all"] = served.total(), could.total()
     for name, (done, possible) in counts.items():
-        if possible >= ENOUGH and done < LEAST_SERVED * possible:
+        if possible >= MIN_SERVABLE and done < MIN_SERVED_SHARE * possible:
             yield Violation("served", "", f"{done} of {possible} of {name} that could be served")
 
 
-def check_all(seen: SeenPlay) -> list[Violation]:
+def check_all(seen: PlayRecord) -> list[Violation]:
     """Every broken rule."""
     found: list[Violation] = []
     for request in seen.requests:
--- a/embersill/lab/soak/clients.py
+++ b/embersill/lab/soak/clients.py
@@ -12,13 +12,13 @@
 from embersill.lab.soak.deployment import Deployment, RequestClass
 from embersill.lab.soak.observations import ClientRequest
 
-LATEST_ANSWER = 0.5  # seconds after its time in which an answer only earns nothing
-LAST_LOOK = 0.05  # seconds for what has come by then: after a hold-up of this process its timer comes first
+MAX_ANSWER_DELAY = 0.5  # seconds after its time in which an answer only earns nothing
+FINAL_READ_TIMEOUT = 0.05  # seconds for what has come by then: after a hold-up of this process its timer comes first
 ANSWER_SLACK = 0.3  # seconds that a client waits on after that before it calls the answer missing
-BAD_CLIENT_OWED = 3.0  # seconds in which a peer with no proper request gets an error or a close
-CUSTOMERS = 40
-LEAVING, TINY, STOPPING = 0.06, 0.05, 0.02  # parts of the requests: left early; with little time; never whole
-BROKEN_TEXTS = (
+BAD_CLIENT_TIMEOUT = 3.0  # seconds in which a peer with no proper request gets an error or a close
+CUSTOMER_COUNT = 40
+DISCONNECT_SHARE, TINY_BUDGET_SHARE, MALFORMED_SHARE = 0.06, 0.05, 0.02  # parts of the requests: left early; with little time; never whole
+MALFORMED_REQUESTS = (
     b"",
     b"GET /api HTTP/1.1\r\nHost: x\r\n",
     b"\x16\x03\x01\x02\x00" * 20,
@@ -34,8 +34,8 @@
     """A peer that sent no proper request."""
 
     gateway: int
-    began: float
-    ended: float = 0.0
+    started_at: float
+    ended_at: float = 0.0
     status: int = 0
 
 
@@ -53,19 +53,19 @@
     ) -> None:
         """`is_up`: whether requests may come; `requests` is shared with the backends."""
         self.gateway, self.port, self.deployment, self.requests = gateway, port, deployment, requests
-        self.is_up, self.dice = is_up, random.Random(seed)
+        self.is_up, self.rng = is_up, random.Random(seed)
         self.idle: list[Connection] = []
-        self.waiting: dict[ClientRequest, asyncio.StreamWriter] = {}
-        self.bad: list[BadClient] = []
+        self.in_flight: dict[ClientRequest, asyncio.StreamWriter] = {}
+        self.bad_clients: list[BadClient] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.numbers = 0
+        self.last_number = 0
         self.failures: list[str] = []  # of clients, by a fault of this program
 
     def spawn(self, work: asyncio.Task[None]) -> None:
         self.tasks.add(work)
-        work.add_done_callback(self.ended)
+        work.add_done_callback(self.on_task_done)
 
-    def ended(self, task: asyncio.Task[None]) -> None:
+    def on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.failures.append(repr(task.exception()))
@@ -74,22 +74,22 @@
         """Requests at random moments, up to a moment of the monotonic clock."""
         loop = asyncio.get_running_loop()
         while time.monotonic() < until:
-            await asyncio.sleep(self.dice.expovariate(rate))
+            await asyncio.sleep(self.rng.expovariate(rate))
             if not self.is_up():
                 continue
-            if self.dice.random() < STOPPING:
-                self.spawn(loop.create_task(self.be_bad(self.dice.choice(BROKEN_TEXTS))))
+            if self.rng.random() < MALFORMED_SHARE:
+                self.spawn(loop.create_task(self.send_malformed(self.rng.choice(MALFORMED_REQUESTS))))
             else:
-                self.spawn(loop.create_task(self.ask()))
+                self.spawn(loop.create_task(self.send_request()))
 
     def make_request(self) -> tuple[ClientRequest, bytes]:
-        self.numbers += 1
-        klass: RequestClass = self.dice.choice(self.deployment.classes)
-        call_id = f"g{self.gateway}-{self.numbers}"
-        budget = klass.deadline * self.dice.uniform(0.5, 1.0)
-        if self.dice.random() < TINY:
-            budget = self.dice.uniform(0.01, 0.15)
-        customer = f"{self.dice.randrange(CUSTOMERS):016x}"
+        self.last_number += 1
+        klass: RequestClass = self.rng.choice(self.deployment.classes)
+        call_id = f"g{self.gateway}-{self.last_number}"
+        budget = klass.deadline * self.rng.uniform(0.5, 1.0)
+        if self.rng.random() < TINY_BUDGET_SHARE:
+            budget = self.rng.uniform(0.01, 0.15)
+        customer = f"{self.rng.randrange(CUSTOMER_COUNT):016x}"
         made = ClientRequest(call_id, self.gateway, customer, "basis", klass.repeats, budget)
         method, body = ("GET", b"") if klass.repeats == "repeatable" else ("POST", b"x" * 100)
         lines = [
@@ -99,7 +99,7 @@
             f"X-Call-Class: {klass.name}",
             "Plan: basis",
             f"X-Budget: {budget:.3f}",
-            f"Quota-Info: units=1,spread={self.deployment.gateways_of_customer},first=0",
+            f"Quota-Info: units=1,spread={self.deployment.customer_gateways},first=0",
         ]
         lines += [f"Content-Length: {len(body)}"] if body else []
         lines += [f"Idempotency-Key: {call_id}"] if klass.repeats == "by_key" else []
@@ -108,11 +108,11 @@
     async def connect(self) -> Connection:
         return await asyncio.open_connection(HOST, self.port)
 
-    async def ask(self) -> None:
+    async def send_request(self) -> None:
         """One request; where its connection was closed while idle, once more on a new one."""
         made, text = self.make_request()
         self.requests[made.call_id] = made
-        leaves_after = self.dice.uniform(0.0, made.budget) if self.dice.random() < LEAVING else None
+        leaves_after = self.rng.uniform(0.0, made.budget) if self.rng.random() < DISCONNECT_SHARE else None
         kept = bool(self.idle)
         try:
             connection = self.idle.pop() if kept else await self.connect()
@@ -137,45 +137,45 @@
             return not kept
         made.written_at = time.monotonic()
         writer.write(text)
-        self.waiting[made] = writer
-        within = made.budget + LATEST_ANSWER + ANSWER_SLACK
+        self.in_flight[made] = writer
+        within = made.budget + MAX_ANSWER_DELAY + ANSWER_SLACK
         try:
             if leaves_after is None:
-                first, headers, body = await read_patiently(reader, within)
+                first, headers, body = await read_message_within(reader, within)
             else:
                 async with asyncio.timeout(leaves_after):
                     first, headers, body = await read_message(reader)
         except TimeoutError:
-            self.leave(made)
+            self.disconnect(made)
             return True
         except (OSError, asyncio.IncompleteReadError) as error:
             made.closed_at = time.monotonic()
             writer.close()
             partial = bool(getattr(error, "partial", b""))
-            return partial or made.left_at < made.closed_at or not (kept and not made.attempts)
+            return partial or made.disconnected_at < made.closed_at or not (kept and not made.attempts)
         finally:
-            self.waiting.pop(made, None)
+            self.in_flight.pop(made, None)
         made.answered_at, made.status = time.monotonic(), int(first.split()[1])
-        made.whole = made.status != 200 or body == b"served " + made.call_id.encode()
+        made.complete = made.status != 200 or body == b"served " + made.call_id.encode()
         if headers.get("connection") == "close":
             writer.close()
         else:
             self.idle.append(connection)
         return True
 
-    def leave(self, made: ClientRequest) -> None:
+    def disconnect(self, made: ClientRequest) -> None:
         """Its client closes its connection."""
-        writer = self.waiting.pop(made, None)
-        if writer is not None and made.left_at == float("inf"):
-            made.left_at = time.monotonic()
+        writer = self.in_flight.pop(made, None)
+        if writer is not None and made.disconnected_at == float("inf"):
+            made.disconnected_at = time.monotonic()
             writer.transport.abort()
 
-    def leave_many(self, part: float) -> None:
-        for made in list(self.waiting):
-            if self.dice.random() < part:
-                self.leave(made)
+    def disconnect_some(self, part: float) -> None:
+        for made in list(self.in_flight):
+            if self.rng.random() < part:
+                self.disconnect(made)
 
-    async def be_bad(self, text: bytes) -> None:
+    async def send_malformed(self, text: bytes) -> None:
         """Sends what is no whole request, and waits for what it is owed."""
         try:
             reader, writer = await self.connect()
@@ -184,17 +184,17 @@
         seen = BadClient(self.gateway, time.monotonic())
         writer.write(text)
         try:
-            async with asyncio.timeout(BAD_CLIENT_OWED + 1.0):
+            async with asyncio.timeout(BAD_CLIENT_TIMEOUT + 1.0):
                 first = await reader.readline()
             seen.status = int(first.split()[1]) if first.startswith(b"HTTP/1.1 ") else 0
         except (TimeoutError, OSError):
             pass
-        seen.ended = time.monotonic()
+        seen.ended_at = time.monotonic()
         writer.close()
         if self.is_up():
-            self.bad.append(seen)
+            self.bad_clients.append(seen)
 
-    async def crowd(self, many: int, lasts: float) -> None:
+    async def hold_idle_connections(self, many: int, lasts: float) -> None:
         """Connections that ask for nothing."""
         held: list[Connection] = []
         try:
@@ -208,11 +208,11 @@
                 writer.transport.abort()
 
 
-async def read_patiently(reader: asyncio.StreamReader, within: float) -> tuple[str, dict[str, str], bytes]:
+async def read_message_within(reader: asyncio.StreamReader, within: float) -> tuple[str, dict[str, str], bytes]:
     """A message, read within so many seconds and a last look; TimeoutError where there is none."""
     try:
         async with asyncio.timeout(within):
             return await read_message(reader)
     except TimeoutError:
-        async with asyncio.timeout(LAST_LOOK):
+        async with asyncio.timeout(FINAL_READ_TIMEOUT):
             return await read_message(reader)
--- a/embersill/lab/soak/counter.py
+++ b/embersill/lab/soak/counter.py
@@ -10,7 +10,7 @@
 from embersill.lab.peers import Peer, read_call, total_text
 from embersill.lab.scale.resp import BUSY, LONGEST_LIFE_SECONDS, OK, AddCall, CounterModel
 
-LATEST = 0.3  # seconds that an answer takes at the most while the counter is slow
+MAX_LATE_DELAY = 0.3  # seconds that an answer takes at the most while the counter is slow
 
 
 class CounterState(Enum):
@@ -28,7 +28,7 @@
     def __init__(self, seed: int) -> None:
         super().__init__()
         self.model = CounterModel(time.monotonic, 1, 0.0)
-        self.state, self.dice = CounterState.PROMPT, random.Random(f"counter {seed}")
+        self.state, self.rng = CounterState.PROMPT, random.Random(f"counter {seed}")
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -39,7 +39,7 @@
                 writer.write(BUSY)
             else:
                 if self.state is CounterState.LATE:
-                    await asyncio.sleep(self.dice.uniform(0.0, LATEST))
+                    await asyncio.sleep(self.rng.uniform(0.0, MAX_LATE_DELAY))
                 life = min(float(words[3]) / 1000.0, LONGEST_LIFE_SECONDS)
                 self.model.reserve(words[1])
                 total = self.model.add(AddCall(words[1], float(words[2]), life))
--- a/embersill/lab/soak/deployment.py
+++ b/embersill/lab/soak/deployment.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 GRACE = 1.0  # seconds for sends to a backend after it was told to drain or to be gone
-LONGEST_COUNTED, KILL_AFTER = 3.0, 0.7  # seconds: SIGKILL after SIGTERM, as the protocol page has it
+MAX_COUNTED_DEADLINE, KILL_MARGIN = 3.0, 0.7  # seconds: SIGKILL after SIGTERM, as the protocol page has it
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,27 +39,27 @@
     memory_mb: int = 96
     sockets: int = 640
     spread: int = 0  # gateways of each customer's set; 0: those that are played
-    told_gateways: int = 0  # how many the settings say there are, where these are a part of a larger fleet
+    configured_gateways: int = 0  # how many the settings say there are, where these are a part of a larger fleet
 
     @property
-    def gateways_of_customer(self) -> int:
+    def customer_gateways(self) -> int:
         """Gateways that share a customer's quota."""
         return self.spread or self.gateways
 
     @property
-    def fleet(self) -> int:
+    def fleet_size(self) -> int:
         """Gateways that the settings tell of."""
-        return self.told_gateways or self.gateways
+        return self.configured_gateways or self.gateways
 
-    def kill_after(self) -> float:
+    def kill_delay(self) -> float:
         """Seconds after SIGTERM at which SIGKILL may come."""
-        return min(max(c.deadline for c in self.classes), LONGEST_COUNTED) + KILL_AFTER
+        return min(max(c.deadline for c in self.classes), MAX_COUNTED_DEADLINE) + KILL_MARGIN
 
     def settings(self, me: int) -> dict[str, Any]:
         """The settings object of a gateway's configuration, in milliseconds."""
         return {
             "me": me,
-            "balancers": self.fleet,
+            "balancers": self.fleet_size,
             "zone": "a",
             "membership_mode": "pushed",
             "services": [
--- a/embersill/lab/soak/discovery_agent.py
+++ b/embersill/lab/soak/discovery_agent.py
@@ -12,8 +12,8 @@
 
 from embersill.lab.peers import Peer, message, read_message, reset
 
-ENDED = ("DRAINING", "DELETED")
-LOOK_EVERY = 0.01  # seconds between looks whether discovery is back
+ENDED_STATES = ("DRAINING", "DELETED")
+POLL_INTERVAL = 0.01  # seconds between looks whether discovery is back
 
 
 @dataclass(slots=True)
@@ -21,34 +21,34 @@
     """What goes wrong at an agent now."""
 
     down: bool = False  # it is silent, and learns nothing
-    piece: int = 0  # bytes of an answer that are written at a time; 0: all at once
-    pause: float = 0.0  # seconds between pieces
-    whole_lists: bool = False  # every answer is the whole list, without backends that drain
+    chunk_bytes: int = 0  # bytes of an answer that are written at a time; 0: all at once
+    chunk_pause: float = 0.0  # seconds between pieces
+    full_lists: bool = False  # every answer is the whole list, without backends that drain
     indented: bool = False
-    ends_watches: bool = False  # closes in place of an answer
+    close_watches: bool = False  # closes in place of an answer
 
 
 @dataclass(slots=True)
-class ToldEnd:
+class DrainPeriod:
     """When a gateway was told that a backend drains or is gone, and until when that held."""
 
-    at: float
-    until: float = inf
+    started_at: float
+    ended_at: float = inf
 
 
 @dataclass(slots=True)
-class Told:
+class DrainHistory:
     """What the agent had, for the rules on drains and slow start."""
 
-    ends: dict[str, list[ToldEnd]] = field(default_factory=dict)
+    periods: dict[str, list[DrainPeriod]] = field(default_factory=dict)
 
-    def note(self, entry: dict[str, Any], now: float) -> None:
-        ends = self.ends.setdefault(entry["instanceId"], [])
-        ended = entry["lifecycle"] in ENDED
-        if ended and not (ends and ends[-1].until == inf):
-            ends.append(ToldEnd(now))
-        elif not ended and ends and ends[-1].until == inf:
-            ends[-1].until = now
+    def record_entry(self, entry: dict[str, Any], now: float) -> None:
+        ends = self.periods.setdefault(entry["instanceId"], [])
+        ended = entry["lifecycle"] in ENDED_STATES
+        if ended and not (ends and ends[-1].ended_at == inf):
+            ends.append(DrainPeriod(now))
+        elif not ended and ends and ends[-1].ended_at == inf:
+            ends[-1].ended_at = now
 
 
 class DiscoveryAgent(Peer):
@@ -58,21 +58,21 @@
         super().__init__()
         self.generation = 1
         self.entries = {entry["instanceId"]: (1, entry) for entry in entries}
-        self.late: list[dict[str, Any]] = []  # changes that came while it was down
-        self.faults, self.told = AgentFaults(), Told()
-        self.wake = asyncio.Event()
+        self.missed_changes: list[dict[str, Any]] = []  # changes that came while it was down
+        self.faults, self.drain_history = AgentFaults(), DrainHistory()
+        self.list_changed = asyncio.Event()
         self.calls = 0
         self.bytes_written = 0
-        self.written_at = 0.0  # when the last whole answer was written
+        self.last_written_at = 0.0  # when the last whole answer was written
 
-    def known(self) -> dict[str, Any]:
+    def initial_list(self) -> dict[str, Any]:
         """The list as the gateway's configuration has it."""
-        return self.listing(0)
+        return self.make_list(0)
 
-    def hear(self, changed: list[dict[str, Any]]) -> None:
+    def apply_changes(self, changed: list[dict[str, Any]]) -> None:
         """Changes come from discovery; while the agent is down they wait there."""
         if self.faults.down:
-            self.late += changed
+            self.missed_changes += changed
             return
         if not changed:
             return
@@ -80,8 +80,8 @@
         now = time.monotonic()
         for entry in changed:
             self.entries[entry["instanceId"]] = self.generation, entry
-            self.told.note(entry, now)
-        wake, self.wake = self.wake, asyncio.Event()
+            self.drain_history.record_entry(entry, now)
+        wake, self.list_changed = self.list_changed, asyncio.Event()
         wake.set()
 
     def set_down(self, down: bool) -> None:
@@ -91,15 +91,15 @@
             for writer in list(self.open):
                 reset(writer)
         else:
-            late, self.late = self.late, []
-            self.hear(late)
+            late, self.missed_changes = self.missed_changes, []
+            self.apply_changes(late)
 
     def break_watches(self) -> None:
         for writer in list(self.open):
             reset(writer)
 
-    def listing(self, since: int) -> dict[str, Any]:
-        whole = since == 0 or self.faults.whole_lists
+    def make_list(self, since: int) -> dict[str, Any]:
+        whole = since == 0 or self.faults.full_lists
         entries = [
             entry
             for generation, entry in self.entries.values()
@@ -112,26 +112,26 @@
             first, _, _ = await read_message(reader)
             self.calls += 1
             while self.faults.down:
-                await asyncio.sleep(LOOK_EVERY)
+                await asyncio.sleep(POLL_INTERVAL)
             told = dict(re.findall(r"(since|timeout_ms)=(\d+)", first))
             since = int(told.get("since", 0))
             if since >= self.generation:
                 try:
-                    await asyncio.wait_for(self.wake.wait(), float(told.get("timeout_ms", 0)) / 1000.0)
+                    await asyncio.wait_for(self.list_changed.wait(), float(told.get("timeout_ms", 0)) / 1000.0)
                 except TimeoutError:
                     pass
-            if self.faults.ends_watches and since:
+            if self.faults.close_watches and since:
                 return
-            text = json.dumps(self.listing(since), indent=2 if self.faults.indented else None)
+            text = json.dumps(self.make_list(since), indent=2 if self.faults.indented else None)
             await self.write(writer, message(200, text.encode()))
 
     async def write(self, writer: asyncio.StreamWriter, text: bytes) -> None:
-        size = self.faults.piece or len(text)
+        size = self.faults.chunk_bytes or len(text)
         self.bytes_written += len(text)
         for place in range(0, len(text), size):
             if writer.transport.is_closing():
                 raise ConnectionResetError
             writer.write(text[place : place + size])
-            if self.faults.pause > 0:
-                await asyncio.sleep(self.faults.pause)
-        self.written_at = time.monotonic()
+            if self.faults.chunk_pause > 0:
+                await asyncio.sleep(self.faults.chunk_pause)
+        self.last_written_at = time.monotonic()
--- a/embersill/lab/soak/gateway_process.py
+++ b/embersill/lab/soak/gateway_process.py
@@ -13,7 +13,7 @@
 from embersill.lab.peers import HOST, free_port, is_ready
 from embersill.lab.versions import HERE, deployed
 
-READY_WITHIN = 20.0  # seconds
+READY_TIMEOUT = 20.0  # seconds
 
 
 class NotReady(Exception):
@@ -37,8 +37,8 @@
         self.environment = dict(environment or {})
         self.configuration = {**configuration, "listen": f"{HOST}:{self.port}"}
         self.child: asyncio.subprocess.Process | None = None
-        self.ended = False  # by a signal of ours
-        self.log = folder / "log"
+        self.stop_requested = False  # by a signal of ours
+        self.log_path = folder / "log"
 
     async def start(self) -> None:
         """Starts it, and waits until it is ready; NotReady tells the last line of its log."""
@@ -47,20 +47,20 @@
         command = os.environ.get("EMBERSILL_RUN") or deployed(HERE)["run"]
         env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
         env |= {"RELAY_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)}
-        with self.log.open("ab") as log:
+        with self.log_path.open("ab") as log:
             self.child = await asyncio.create_subprocess_exec(
                 "/bin/sh", "-c", command, cwd=HERE, stdout=log, stderr=log, env=env | self.environment
             )
         try:
-            async with asyncio.timeout(READY_WITHIN):
+            async with asyncio.timeout(READY_TIMEOUT):
                 while not await is_ready(self.port):
-                    if self.child.returncode is not None or self.ended:
+                    if self.child.returncode is not None or self.stop_requested:
                         break
                     await asyncio.sleep(0.02)
         except TimeoutError:
-            raise NotReady(f"gateway {self.number}: {self.last_line()}") from None
-        if self.child.returncode is not None and not self.ended:
-            raise NotReady(f"gateway {self.number} ended with {self.child.returncode}: {self.last_line()}")
+            raise NotReady(f"gateway {self.number}: {self.last_log_line()}") from None
+        if self.child.returncode is not None and not self.stop_requested:
+            raise NotReady(f"gateway {self.number} ended with {self.child.returncode}: {self.last_log_line()}")
 
     def write_configuration(self) -> None:
         """Whole or not at all, as the gateway may read it at any time."""
@@ -68,13 +68,13 @@
         new.write_text(json.dumps(self.configuration))
         new.replace(self.folder / "config.json")
 
-    def last_line(self) -> str:
-        lines = self.log.read_text(errors="replace").splitlines() if self.log.exists() else []
+    def last_log_line(self) -> str:
+        lines = self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []
         return lines[-1] if lines else "its log is empty"
 
     def has_logged(self, text: str, since: int) -> bool:
         """Whether the log holds this behind so many bytes."""
-        with self.log.open("rb") as log:
+        with self.log_path.open("rb") as log:
             log.seek(since)
             return text.encode() in log.read()
 
@@ -85,7 +85,7 @@
     def signal(self, number: signal.Signals) -> None:
         if self.child is not None and self.child.returncode is None:
             if number in (signal.SIGTERM, signal.SIGKILL):
-                self.ended = True
+                self.stop_requested = True
             self.child.send_signal(number)
 
     async def wait(self) -> int:
--- a/embersill/lab/soak/growth.py
+++ b/embersill/lab/soak/growth.py
@@ -15,21 +15,21 @@
 
 from embersill.lab.soak.backends import Behaviour
 from embersill.lab.soak.deployment import Deployment, RequestClass
-from embersill.lab.soak.plan import Fault, FaultAt, ShimSetting, SoakPlan
+from embersill.lab.soak.plan import Fault, ScheduledFault, ShimSetting, SoakPlan
 from embersill.lab.soak.play import PlayResult, play_plan
 
-USUAL = 200  # backends
-TIMES = (1, 4, 16)
-GATEWAYS = 4  # processes; the settings tell FLEET, of which these are the first
-FLEET = 200
-RATE = 25.0  # requests a second at each
-RELEASE_AT, REPLACED = 5.0, 0.5
-LEAST_SERVED = 0.85  # times the share at the usual size
-DONE, OVER = 0, 3
+USUAL_BACKENDS = 200  # backends
+SIZE_FACTORS = (1, 4, 16)
+GATEWAY_COUNT = 4  # processes; the settings tell FLEET, of which these are the first
+FLEET_SIZE = 200
+REQUEST_RATE = 25.0  # requests a second at each
+RELEASE_AT, REPLACED_SHARE = 5.0, 0.5
+MIN_SERVED_FACTOR = 0.85  # times the share at the usual size
+EXIT_OK, EXIT_OVER_BOUND = 0, 3
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
+class ResourceUse:
     """What a gateway needed in a day, in the mean of all."""
 
     backends: int
@@ -45,12 +45,12 @@
 class Bound:
     """So many times the usual, plus a constant, plus so much for each thousand backends."""
 
-    times: float
-    plus: float
-    per_thousand: float = 0.0
+    factor: float
+    constant: float
+    per_thousand_backends: float = 0.0
 
-    def at(self, usual: float, backends: int) -> float:
-        return self.times * usual + self.plus + self.per_thousand * backends / 1000.0
+    def limit(self, usual: float, backends: int) -> float:
+        return self.factor * usual + self.constant + self.per_thousand_backends * backends / 1000.0
 
 
 BOUNDS: dict[str, Bound] = {
@@ -69,41 +69,41 @@
         RequestClass("sign", "by_key", 2.0, 4.0, "cell", 10.0),
     )
     deployment = Deployment(
-        GATEWAYS, classes, rate=1000.0, burst=1000.0, memory_mb=192, sockets=1024, told_gateways=FLEET
+        GATEWAY_COUNT, classes, rate=1000.0, burst=1000.0, memory_mb=192, sockets=1024, configured_gateways=FLEET_SIZE
     )
-    release = FaultAt(RELEASE_AT, Fault.REPLACE, 0.0, 0, REPLACED, Behaviour.SERVE)
-    return SoakPlan(1, seconds, backends, RATE, deployment, (release,), (ShimSetting(),) * GATEWAYS)
+    release = ScheduledFault(RELEASE_AT, Fault.REPLACE, 0.0, 0, REPLACED_SHARE, Behaviour.SERVE)
+    return SoakPlan(1, seconds, backends, REQUEST_RATE, deployment, (release,), (ShimSetting(),) * GATEWAY_COUNT)
 
 
-def needs_of(result: PlayResult) -> Needs:
+def resource_use(result: PlayResult) -> ResourceUse:
     served = result.served / max(result.requests, 1)
-    return Needs(
+    return ResourceUse(
         result.plan.backends,
-        result.processor_seconds / GATEWAYS,
+        result.processor_seconds / GATEWAY_COUNT,
         result.mean_memory_mb,
         result.mean_descriptors,
-        result.connections / GATEWAYS,
-        result.list_bytes / 1000.0 / GATEWAYS,
+        result.connections / GATEWAY_COUNT,
+        result.list_bytes / 1000.0 / GATEWAY_COUNT,
         served,
     )
 
 
-def over_bounds(usual: Needs, grown: Needs) -> list[str]:
+def exceeded_bounds(usual: ResourceUse, grown: ResourceUse) -> list[str]:
     """The needs that grew by more than is allowed."""
     found = []
     for name, bound in BOUNDS.items():
-        if getattr(grown, name) > bound.at(getattr(usual, name), grown.backends):
+        if getattr(grown, name) > bound.limit(getattr(usual, name), grown.backends):
             found.append(name)
-    return found + ["served"] * (grown.served < LEAST_SERVED * usual.served)
+    return found + ["served"] * (grown.served < MIN_SERVED_FACTOR * usual.served)
 
 
-def table(rows: list[Needs]) -> str:
+def format_table(rows: list[ResourceUse]) -> str:
     """In Markdown: what was needed, and in brackets what is allowed."""
     lines = ["| backends | " + " | ".join(BOUNDS) + " | served |", "| --- " * (len(BOUNDS) + 2) + "|"]
     for row in rows:
         cells = []
         for name, bound in BOUNDS.items():
-            allowed = "" if row is rows[0] else f" ({bound.at(getattr(rows[0], name), row.backends):.2f})"
+            allowed = "" if row is rows[0] else f" ({bound.limit(getattr(rows[0], name), row.backends):.2f})"
             cells.append(f"{getattr(row, name):.2f}{allowed}")
         lines.append(f"| {row.backends} | " + " | ".join(cells) + f" | {row.served:.3f} |")
     return "\n".join(lines)
@@ -120,16 +120,16 @@
     """Plays the days one after the other; 3 where a bound is passed."""
     with tempfile.TemporaryDirectory() as own:
         folder = told.out or pathlib.Path(own)
-        rows: list[Needs] = []
-        for times in TIMES:
-            plan = make_plan(USUAL * times, told.seconds)
+        rows: list[ResourceUse] = []
+        for times in SIZE_FACTORS:
+            plan = make_plan(USUAL_BACKENDS * times, told.seconds)
             result, _ = play_plan(plan, folder / f"backends-{plan.backends}", None, {"EMBERSILL_TRACE": "0"})
-            rows.append(needs_of(result))
+            rows.append(resource_use(result))
             for violation in result.violations[:5]:
                 say(f"{plan.backends} backends: {violation}")
         (folder / "growth.json").write_text(json.dumps([asdict(row) for row in rows], indent=1))
-    say(table(rows))
-    over = {row.backends: found for row in rows[1:] if (found := over_bounds(rows[0], row))}
+    say(format_table(rows))
+    over = {row.backends: found for row in rows[1:] if (found := exceeded_bounds(rows[0], row))}
     for backends, names in over.items():
         say(f"over its bound at {backends} backends: {', '.join(names)}")
-    return OVER if over else DONE
+    return EXIT_OVER_BOUND if over else EXIT_OK
--- a/embersill/lab/soak/observations.py
+++ b/embersill/lab/soak/observations.py
@@ -24,7 +24,7 @@
     gateway: int
     backend: str
     first_byte_at: float
-    whole_at: float
+    received_at: float
     budget: float  # seconds, as X-Budget told
     end: AttemptEnd = AttemptEnd.OPEN
     ended_at: float = inf
@@ -42,10 +42,10 @@
     repeats: str  # "repeatable", "by_key" or "once"
     budget: float
     written_at: float = inf  # its last byte was written
-    left_at: float = inf  # its client closed
+    disconnected_at: float = inf  # its client closed
     answered_at: float = inf
     status: int = 0
-    whole: bool = False  # the answer came whole
+    complete: bool = False  # the answer came whole
     closed_at: float = inf  # the gateway closed with no whole answer
     killed: bool = False  # its gateway was killed meanwhile, or had ended
     attempts: list[Attempt] = field(default_factory=list)
--- a/embersill/lab/soak/plan.py
+++ b/embersill/lab/soak/plan.py
@@ -11,15 +11,15 @@
 from embersill.lab.soak.deployment import Deployment, RequestClass
 
 SIZES = (200, 800, 3200)  # backends
-MOST_GATEWAYS = 6
-SETTLE = 1.0  # seconds of a day before anything goes wrong
-CALM_END = 1.5  # seconds at its end in which nothing begins
-THIN_PART, HEAVY_PART, COUNTER_PART = 0.3, 0.3, 0.4  # of the days with such a ceiling, work or counter
-THIN_SETS = (24, 60, 150)  # gateways of a customer's set over which a ceiling is thin; few of them are played
-UPGRADE_PART, MOST_UPGRADES = 0.4, 3  # of the days with upgrades, and how many there are
-EARLY_PART, MOST_EARLY = 0.3, 2  # the same for processes that are ended while they start
-HEAVY_WORK = (0.4, 0.6, 0.8)  # of the aim, in the mean
-LIST_WRITTEN_WITHIN = 0.3  # seconds in which an agent writes a list in pieces: the pages say, at once
+MAX_GATEWAYS = 6
+FAULT_FREE_START = 1.0  # seconds of a day before anything goes wrong
+FAULT_FREE_END = 1.5  # seconds at its end in which nothing begins
+LOW_CEILING_SHARE, HEAVY_WORK_SHARE, COUNTER_FAULT_SHARE = 0.3, 0.3, 0.4  # of the days with such a ceiling, work or counter
+LOW_CEILING_GATEWAYS = (24, 60, 150)  # gateways of a customer's set over which a ceiling is thin; few of them are played
+UPGRADE_SHARE, MAX_UPGRADES = 0.4, 3  # of the days with upgrades, and how many there are
+EARLY_SIGTERM_SHARE, MAX_EARLY_SIGTERMS = 0.3, 2  # the same for processes that are ended while they start
+HEAVY_WORK_FACTORS = (0.4, 0.6, 0.8)  # of the aim, in the mean
+LIST_WRITE_TIME = 0.3  # seconds in which an agent writes a list in pieces: the pages say, at once
 
 
 class Fault(Enum):
@@ -44,7 +44,7 @@
     UPGRADE = "a successor beside the running process, which hands over and ends"
 
 
-WEIGHTS = {
+FAULT_WEIGHTS = {
     Fault.REPLACE: 4,
     Fault.DRAIN: 4,
     Fault.OUTAGE: 2,
@@ -63,14 +63,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FaultAt:
+class ScheduledFault:
     """A fault and its moment, in seconds of the day."""
 
     at: float
     fault: Fault
-    lasts: float
+    duration: float
     gateway: int
-    part: float
+    share: float
     behaviour: Behaviour
 
 
@@ -78,15 +78,15 @@
 class ShimSetting:
     """How system calls fail in one gateway's processes."""
 
-    part: int = 0  # of the calls, in thousandths
-    every_ms: int = 2000
-    lasts_ms: int = 150
+    failing_per_thousand: int = 0  # of the calls, in thousandths
+    interval_ms: int = 2000
+    duration_ms: int = 150
     clock_step: int = 0  # seconds, of processes that start from the middle of the day on
 
-    def text(self, seed: int, stepped: bool) -> str:
+    def encode(self, seed: int, stepped: bool) -> str:
         """The value of SOAK_SHIM."""
         step = self.clock_step if stepped else 0
-        return f"seed={seed},part={self.part},every={self.every_ms},lasts={self.lasts_ms},step={step}"
+        return f"seed={seed},part={self.failing_per_thousand},every={self.interval_ms},lasts={self.duration_ms},step={step}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,23 +98,23 @@
     backends: int
     rate: float  # requests a second at each gateway
     deployment: Deployment
-    faults: tuple[FaultAt, ...]
+    faults: tuple[ScheduledFault, ...]
     shims: tuple[ShimSetting, ...] = field(default=())
-    work: float = 0.01  # seconds that a request takes at a backend, in the mean
+    mean_work_time: float = 0.01  # seconds that a request takes at a backend, in the mean
 
-    def with_faults(self, more: Iterable[FaultAt]) -> SoakPlan:
+    def with_faults(self, more: Iterable[ScheduledFault]) -> SoakPlan:
         """The same day with these faults besides."""
         return replace(self, faults=tuple(sorted((*self.faults, *more), key=lambda fault: fault.at)))
 
     def describe(self) -> str:
         """In one line."""
         names = ", ".join(f"{f.fault.name.lower()} at {f.at:.1f}" for f in self.faults)
-        shims = ", ".join(f"{s.part}/1000 step {s.clock_step}" for s in self.shims)
+        shims = ", ".join(f"{s.failing_per_thousand}/1000 step {s.clock_step}" for s in self.shims)
         return (
             f"seed {self.seed}: {self.backends} backends, {self.deployment.gateways} gateways, "
             f"{self.seconds:.0f} s, deadlines {[c.deadline for c in self.deployment.classes]}, "
-            f"work {self.work:.3f} s, ceiling of {self.deployment.ceiling * self.deployment.rate:g}/s over "
-            f"{self.deployment.gateways_of_customer}, faults {names}; calls that fail {shims}"
+            f"work {self.mean_work_time:.3f} s, ceiling of {self.deployment.ceiling * self.deployment.rate:g}/s over "
+            f"{self.deployment.customer_gateways}, faults {names}; calls that fail {shims}"
         )
 
 
@@ -131,17 +131,17 @@
     )
 
 
-def draw_moment(dice: random.Random, seconds: float) -> float:
+def draw_fault_time(dice: random.Random, seconds: float) -> float:
     """When a fault begins, in a day of so many seconds."""
-    return dice.uniform(SETTLE, max(seconds - CALM_END, SETTLE))
+    return dice.uniform(FAULT_FREE_START, max(seconds - FAULT_FREE_END, FAULT_FREE_START))
 
 
-def draw_fault(dice: random.Random, seconds: float, gateways: int) -> FaultAt:
-    fault = dice.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+def draw_fault(dice: random.Random, seconds: float, gateways: int) -> ScheduledFault:
+    fault = dice.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
     lasts = dice.uniform(0.5, 4.0)
     part = dice.choice([0.05, 0.15, 0.3, 0.5])
     behaviour = dice.choice([b for b in Behaviour if b is not Behaviour.SERVE])
-    return FaultAt(draw_moment(dice, seconds), fault, lasts, dice.randrange(gateways), part, behaviour)
+    return ScheduledFault(draw_fault_time(dice, seconds), fault, lasts, dice.randrange(gateways), part, behaviour)
 
 
 def draw_plan(seed: int, seconds: float | None = None, most_backends: int = SIZES[-1]) -> SoakPlan:
@@ -150,7 +150,7 @@
     length = dice.uniform(20.0, 60.0)
     length = length if seconds is None else seconds
     backends = min(dice.choice(SIZES), most_backends)
-    gateways = dice.randint(1, MOST_GATEWAYS)
+    gateways = dice.randint(1, MAX_GATEWAYS)
     deployment = Deployment(
         gateways,
         draw_classes(dice),
@@ -169,43 +169,43 @@
     )
     rate, work = dice.uniform(10.0, 40.0), dice.choice([0.01, 0.05, 0.2])
     drawn = SoakPlan(seed, length, backends, rate, deployment, tuple(faults), shims, work)
-    return draw_harder(random.Random(f"soak harder {seed}"), drawn)
+    return add_harder_conditions(random.Random(f"soak harder {seed}"), drawn)
 
 
-def draw_harder(dice: random.Random, plan: SoakPlan) -> SoakPlan:
+def add_harder_conditions(dice: random.Random, plan: SoakPlan) -> SoakPlan:
     """Thin ceilings, heavy work and a counter in trouble, drawn apart: the other days stay as they were."""
-    if dice.random() < THIN_PART:
+    if dice.random() < LOW_CEILING_SHARE:
         customers_rate = dice.choice([1.0, 5.0])
-        spread = dice.choice(THIN_SETS)
+        spread = dice.choice(LOW_CEILING_GATEWAYS)
         thin = replace(
             plan.deployment,
             rate=customers_rate,
             burst=2.0 * customers_rate,
             ceiling=2.0,
             spread=spread,
-            told_gateways=spread,
+            configured_gateways=spread,
         )
         plan = replace(plan, deployment=thin)
-    if dice.random() < HEAVY_PART:
-        plan = replace(plan, work=dice.choice(HEAVY_WORK) * plan.deployment.classes[0].aim)
-    if dice.random() < COUNTER_PART:
-        at = draw_moment(dice, plan.seconds)
+    if dice.random() < HEAVY_WORK_SHARE:
+        plan = replace(plan, mean_work_time=dice.choice(HEAVY_WORK_FACTORS) * plan.deployment.classes[0].aim)
+    if dice.random() < COUNTER_FAULT_SHARE:
+        at = draw_fault_time(dice, plan.seconds)
         part = dice.choice([0.05, 0.15, 0.3, 0.5])
-        trouble = FaultAt(at, Fault.COUNTER, dice.uniform(0.5, 4.0), 0, part, Behaviour.SERVE)
+        trouble = ScheduledFault(at, Fault.COUNTER, dice.uniform(0.5, 4.0), 0, part, Behaviour.SERVE)
         plan = plan.with_faults([trouble])
-    plan = draw_process_faults(dice, plan, Fault.UPGRADE, UPGRADE_PART, MOST_UPGRADES)
-    return draw_process_faults(dice, plan, Fault.TERMINATE_EARLY, EARLY_PART, MOST_EARLY)
+    plan = add_process_faults(dice, plan, Fault.UPGRADE, UPGRADE_SHARE, MAX_UPGRADES)
+    return add_process_faults(dice, plan, Fault.TERMINATE_EARLY, EARLY_SIGTERM_SHARE, MAX_EARLY_SIGTERMS)
 
 
-def draw_process_faults(
+def add_process_faults(
     dice: random.Random, plan: SoakPlan, fault: Fault, part: float, most: int
 ) -> SoakPlan:
     """A part of the days has one to so many of these, at any moments, also in the midst of other faults."""
     if dice.random() >= part:
         return plan
     return plan.with_faults([
-        FaultAt(
-            draw_moment(dice, plan.seconds),
+        ScheduledFault(
+            draw_fault_time(dice, plan.seconds),
             fault,
             0.0,
             dice.randrange(plan.deployment.gateways),
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -15,10 +15,10 @@
 
 import pytest
 
-PARTS = 4
-AT_TIMES = "at times"  # how what was seen begins, of a test that doesn't fail at every run
-SOAK_DAY = re.compile(r"soak (\d+)")
-ISSUE = re.compile(r"(issue )?\d+")
+FIELD_COUNT = 4
+INTERMITTENT_PREFIX = "at times"  # how what was seen begins, of a test that doesn't fail at every run
+SOAK_ENTRY = re.compile(r"soak (\d+)")
+ISSUE_PATTERN = re.compile(r"(issue )?\d+")
 
 
 @dataclass(frozen=True)
@@ -27,32 +27,32 @@
 
     test: str
     command: str  # with the seed
-    seen: str
+    observed: str
     issue: str
 
     @property
     def soak_seed(self) -> int | None:
         """The seed, where the entry is a day of the soak."""
-        found = SOAK_DAY.fullmatch(self.test)
+        found = SOAK_ENTRY.fullmatch(self.test)
         return int(found[1]) if found else None
 
     @property
     def fails_at_times(self) -> bool:
         """Whether its passing says nothing."""
-        return self.seen.startswith(AT_TIMES)
+        return self.observed.startswith(INTERMITTENT_PREFIX)
 
     def reason(self) -> str:
         """In one line."""
-        return f"{self.seen} ({self.issue}; {self.command})"
+        return f"{self.observed} ({self.issue}; {self.command})"
 
 
-def read_known(path: pathlib.Path) -> dict[str, KnownRed]:
+def read_known_failures(path: pathlib.Path) -> dict[str, KnownRed]:
     """The entries by test; UsageError says what is wrong with the file."""
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     known: dict[str, KnownRed] = {}
     for line in lines:
         parts = [part.strip() for part in line.split("|")]
-        in_form = len(parts) == PARTS and all(parts) and ISSUE.fullmatch(parts[-1])
+        in_form = len(parts) == FIELD_COUNT and all(parts) and ISSUE_PATTERN.fullmatch(parts[-1])
         if not in_form or parts[0] in known:
             form = "test | command and seed | what was seen | open issue"
             raise pytest.UsageError(f"{path.name}: not '{form}', or listed twice: {line}")
@@ -60,7 +60,7 @@
     return known
 
 
-def mark(known: dict[str, KnownRed], items: Sequence[pytest.Item], whole: bool) -> None:
+def mark_known_failures(known: dict[str, KnownRed], items: Sequence[pytest.Item], whole: bool) -> None:
     """`whole`: all tests were collected, so that each that is listed has to be among them."""
     tests = {name: entry for name, entry in known.items() if entry.soak_seed is None}
     found = {item.nodeid: item for item in items}
--- a/tests/soak_bed.py
+++ b/tests/soak_bed.py
@@ -48,7 +48,7 @@
             "discovery": self.agent.address,
             "counter": self.counter.address,
             "seed": "8c1f30d27a5be964",
-            "known": self.agent.known(),
+            "known": self.agent.initial_list(),
             "settings": self.deployment.settings(0),
             "limits": {
                 "cores": 1.0,
@@ -61,7 +61,7 @@
     def entry(self, name: str, state: str = "SERVING", started: float = 0.0) -> dict[str, Any]:
         return backend_entry(name, self.backends.host_port(name), self.names.index(name), state, started)
 
-    def text(self, call_id: str, klass: RequestClass = LOOKUP, budget: float = 5.0) -> bytes:
+    def make_request(self, call_id: str, klass: RequestClass = LOOKUP, budget: float = 5.0) -> bytes:
         """A request, which the backends know from now on."""
         self.requests[call_id] = ClientRequest(
             call_id, 0, "00000000000000c1", "basis", klass.repeats, budget, time.monotonic()
@@ -85,16 +85,16 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(HOST, self.gateway.port)
 
-    async def ask(self, call_id: str) -> int:
+    async def send_request(self, call_id: str) -> int:
         """A request on a connection of its own; the status of its answer."""
         reader, writer = await self.connect()
-        writer.write(self.text(call_id))
+        writer.write(self.make_request(call_id))
         async with asyncio.timeout(SOON):
             first, _, _ = await read_message(reader)
         writer.close()
         return int(first.split()[1])
 
-    def sends_to(self, name: str, since: float, until: float = inf) -> list[float]:
+    def attempt_times(self, name: str, since: float, until: float = inf) -> list[float]:
         """When attempts began at a backend, as seconds after `since`."""
         return [
             a.first_byte_at - since
--- a/tests/soak_mutants/__main__.py
+++ b/tests/soak_mutants/__main__.py
@@ -12,10 +12,10 @@
 from dataclasses import replace
 
 from embersill.lab.soak.backends import Behaviour
-from embersill.lab.soak.plan import Fault, FaultAt, SoakPlan, draw_plan
+from embersill.lab.soak.plan import Fault, ScheduledFault, SoakPlan, draw_plan
 from embersill.lab.soak.play import build_shim, play_plan
 
-MOST_SEEDS, SECONDS, BACKENDS = 10, 10.0, 200
+MAX_SEEDS, SECONDS, BACKENDS = 10, 10.0, 200
 # the rules by which each may be found
 MUTANTS = {
     "sends to what drains": {"drain"},
@@ -43,22 +43,22 @@
     """A drawn day; a fault that shows only under load gets one with few busy backends and a release."""
     plan = draw_plan(seed, SECONDS, BACKENDS)
     if name == "goes on for clients that left":
-        rejecting = FaultAt(1.0, Fault.MISBEHAVE, SECONDS, 0, 0.6, Behaviour.REJECT)
-        return replace(plan, work=0.4, faults=(rejecting,))
+        rejecting = ScheduledFault(1.0, Fault.MISBEHAVE, SECONDS, 0, 0.6, Behaviour.REJECT)
+        return replace(plan, mean_work_time=0.4, faults=(rejecting,))
     if name == "drops all at SIGTERM":
-        return replace(plan, work=0.4, faults=(FaultAt(3.0, Fault.TERMINATE, 0.0, 0, 0.0, Behaviour.SERVE),))
+        return replace(plan, mean_work_time=0.4, faults=(ScheduledFault(3.0, Fault.TERMINATE, 0.0, 0, 0.0, Behaviour.SERVE),))
     if name != "takes cold backends for warm":
         return plan
-    release = FaultAt(2.0, Fault.REPLACE, 0.0, 0, 0.2, Behaviour.SERVE)
+    release = ScheduledFault(2.0, Fault.REPLACE, 0.0, 0, 0.2, Behaviour.SERVE)
     deployment = replace(plan.deployment, cold_from=0.15, warm_within=18.0, rate=1000.0, burst=1000.0)
     rate = 300.0 / plan.deployment.gateways
     return replace(plan, backends=14, rate=rate, deployment=deployment, faults=(release,))
 
 
-def caught_at(name: str, folder: pathlib.Path, shim: pathlib.Path) -> tuple[int, str]:
+def find_catching_seed(name: str, folder: pathlib.Path, shim: pathlib.Path) -> tuple[int, str]:
     """The seed at which a mutant is caught, or 0, and by what."""
     environment = {"PYTHONPATH": str(pathlib.Path(__file__).parent), "SOAK_MUTANT": name}
-    for seed in range(1, MOST_SEEDS + 1):
+    for seed in range(1, MAX_SEEDS + 1):
         plan = plan_for(name, seed)
         result, _ = play_plan(plan, folder / f"{name.replace(' ', '-')}-{seed}", shim, environment)
         found = [v for v in result.violations if v.rule in MUTANTS[name]]
@@ -74,7 +74,7 @@
         folder = pathlib.Path(own)
         shim = build_shim(folder)
         for name in names or list(MUTANTS):
-            seed, what = caught_at(name, folder, shim)
+            seed, what = find_catching_seed(name, folder, shim)
             missed += not seed
             print(f"{name}: seed {seed or '-'}: {what}", flush=True)
     print(f"{len(names or MUTANTS) - missed} caught, {missed} not caught")
--- a/tests/test_incident_deadline.py
+++ b/tests/test_incident_deadline.py
@@ -28,20 +28,20 @@
 ) -> None:
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
-            assert await bed.ask("before") == 200
+            assert await bed.send_request("before") == 200
             reader, writer = await bed.connect()
             await asyncio.sleep(0.05)
             bed.gateway.signal(signal.SIGSTOP)
             await asyncio.sleep(0.02)
             written = time.monotonic()
-            writer.write(bed.text("late", budget=stop_time + 0.5))
+            writer.write(bed.make_request("late", budget=stop_time + 0.5))
             await asyncio.sleep(stop_time)
             bed.gateway.signal(signal.SIGCONT)
             async with asyncio.timeout(SOON):
                 first, _, _ = await read_message(reader)
             assert first.split()[1] == "200"
             attempt = bed.requests["late"].attempts[0]
-            remaining = written + stop_time + 0.5 - attempt.whole_at
+            remaining = written + stop_time + 0.5 - attempt.received_at
             assert attempt.budget <= remaining + SLACK
             assert attempt.budget >= remaining - 0.3  # and not much less than that
 
@@ -51,12 +51,12 @@
 def test_a_request_whose_budget_is_used_up_when_it_is_read_is_refused(tmp_path: pathlib.Path) -> None:
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
-            assert await bed.ask("before") == 200
+            assert await bed.send_request("before") == 200
             reader, writer = await bed.connect()
             await asyncio.sleep(0.05)
             bed.gateway.signal(signal.SIGSTOP)
             await asyncio.sleep(0.02)
-            writer.write(bed.text("over", budget=0.3))
+            writer.write(bed.make_request("over", budget=0.3))
             await asyncio.sleep(0.6)
             bed.gateway.signal(signal.SIGCONT)
             async with asyncio.timeout(SOON):
@@ -76,7 +76,7 @@
 
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
-            assert await bed.ask("before") == 200
+            assert await bed.send_request("before") == 200
             for number in range(8):
                 call_id = f"late-{number}"
                 reader, writer = await bed.connect()
@@ -84,7 +84,7 @@
                 bed.gateway.signal(signal.SIGSTOP)
                 await asyncio.sleep(0.01)
                 written = time.monotonic()
-                writer.write(bed.text(call_id, budget=1.2))
+                writer.write(bed.make_request(call_id, budget=1.2))
                 for _ in range(3):
                     await asyncio.sleep(STOP_TIME)
                     bed.gateway.signal(signal.SIGCONT)
@@ -95,7 +95,7 @@
                 async with asyncio.timeout(SOON):
                     await read_message(reader)
                 for attempt in bed.requests[call_id].attempts:
-                    assert attempt.budget <= written + 1.2 - attempt.whole_at + SLACK
+                    assert attempt.budget <= written + 1.2 - attempt.received_at + SLACK
                 writer.close()
             assert sum(bool(request.attempts) for request in bed.requests.values()) > 4
 
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -28,7 +28,7 @@
     asked = []
     while time.monotonic() < end:
         number += 1
-        asked.append(asyncio.create_task(bed.ask(f"{name}-{number}")))
+        asked.append(asyncio.create_task(bed.send_request(f"{name}-{number}")))
         await asyncio.sleep(0.004)
     await asyncio.gather(*asked)
 
@@ -39,22 +39,22 @@
     async def test() -> None:
         async with soak_bed(tmp_path, BACKENDS) as bed:
             await send_requests(bed, 0.5, "before")
-            bed.agent.faults.whole_lists = True
-            bed.agent.faults.piece, bed.agent.faults.pause = PIECE_BYTES, PIECE_INTERVAL
+            bed.agent.faults.full_lists = True
+            bed.agent.faults.chunk_bytes, bed.agent.faults.chunk_pause = PIECE_BYTES, PIECE_INTERVAL
             draining = sorted({a.backend for r in bed.requests.values() for a in r.attempts})
             assert draining
             bed.agent.break_watches()
-            bed.agent.hear([bed.entry(name, "DRAINING") for name in draining])
-            told, before = time.monotonic(), bed.agent.written_at
+            bed.agent.apply_changes([bed.entry(name, "DRAINING") for name in draining])
+            told, before = time.monotonic(), bed.agent.last_written_at
             sending = asyncio.create_task(send_requests(bed, 4.0, "after"))
             async with asyncio.timeout(2.5):  # about 0.8 s, and more on a busy machine
-                while bed.agent.written_at == before:
+                while bed.agent.last_written_at == before:
                     await asyncio.sleep(0.01)
-            written = bed.agent.written_at
+            written = bed.agent.last_written_at
             assert written > told + 0.5  # it takes longer than the timeout of a silent call
             await sending
             # the agent had written all of it only then: the time for the list adds to the grace
-            late = [at for name in draining for at in bed.sends_to(name, written + GRACE + SLACK)]
+            late = [at for name in draining for at in bed.attempt_times(name, written + GRACE + SLACK)]
             assert not late, f"{len(late)} sends, the last {max(late):.2f} s after the end of the grace"
 
     run(test)
@@ -68,12 +68,12 @@
 
     async def test() -> None:
         async with soak_bed(tmp_path, 300) as bed:
-            bed.agent.faults.whole_lists = whole
+            bed.agent.faults.full_lists = whole
             for turn in range(12):
-                bed.agent.hear([bed.entry(bed.names[turn], "DRAINING")])
+                bed.agent.apply_changes([bed.entry(bed.names[turn], "DRAINING")])
                 await asyncio.sleep(0.01)  # the change is delivered, and the next call not made yet
                 bed.agent.break_watches()
-                bed.agent.hear([bed.entry(bed.names[100 + turn], "DRAINING")])
+                bed.agent.apply_changes([bed.entry(bed.names[100 + turn], "DRAINING")])
                 calls = bed.agent.calls
                 async with asyncio.timeout(0.5):
                     while bed.agent.calls == calls:
--- a/tests/test_incident_late_read.py
+++ b/tests/test_incident_late_read.py
@@ -31,7 +31,7 @@
 def check_budget_sent(bed: SoakBed, call_id: str, written: float, min_wait: float) -> None:
     """Checks the budget of the first attempt against the time for which the request waited."""
     attempt = bed.requests[call_id].attempts[0]
-    waited = attempt.whole_at - written
+    waited = attempt.received_at - written
     assert waited > min_wait, "the request did not wait"
     assert BUDGET - waited - SHORTFALL <= attempt.budget <= BUDGET - waited + SLACK
 
@@ -39,7 +39,7 @@
 def set_work(bed: SoakBed, seconds: float) -> None:
     """Sets the time that the backends take for a request."""
     for model in bed.backends.models.values():
-        model.work = seconds
+        model.mean_work_time = seconds
 
 
 def test_the_budget_counts_the_wait_for_accept(tmp_path: pathlib.Path) -> None:
@@ -52,7 +52,7 @@
             await asyncio.sleep(STALLED_AFTER / 10)
             reader, writer = await bed.connect()
             written = time.monotonic()
-            writer.write(bed.text("late", budget=BUDGET))
+            writer.write(bed.make_request("late", budget=BUDGET))
             async with asyncio.timeout(SOON):
                 first, _, _ = await read_message(reader)
             assert first.split()[1] == "200"
@@ -70,12 +70,12 @@
             set_work(bed, WAIT)
             reader, writer = await bed.connect()
             first = [f"first-{number}" for number in range(MAX_PIPELINED + 1)]
-            writer.write(b"".join(bed.text(call_id) for call_id in first))
+            writer.write(b"".join(bed.make_request(call_id) for call_id in first))
             await asyncio.sleep(WAIT / 4)
             set_work(bed, 0.01)
             late = [f"late-{number}" for number in range(more)]
             written = time.monotonic()
-            writer.write(b"".join(bed.text(call_id, budget=BUDGET) for call_id in late))
+            writer.write(b"".join(bed.make_request(call_id, budget=BUDGET) for call_id in late))
             async with asyncio.timeout(SOON):
                 for _ in (*first, *late):
                     answer, _, _ = await read_message(reader)
--- a/tests/test_incident_lost.py
+++ b/tests/test_incident_lost.py
@@ -30,12 +30,12 @@
 
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
-            warm = await asyncio.gather(*(bed.ask(f"warm-{n}") for n in range(24)))  # leaves idle connections
+            warm = await asyncio.gather(*(bed.send_request(f"warm-{n}") for n in range(24)))  # leaves idle connections
             assert set(warm) == {200}
             for model in bed.backends.models.values():
-                model.behaviour, model.work = Behaviour.REJECT, 0.05
+                model.behaviour, model.mean_work_time = Behaviour.REJECT, 0.05
             _, writer = await bed.connect()
-            writer.write(bed.text("gone"))
+            writer.write(bed.make_request("gone"))
             await until_attempted(bed, "gone")
             bed.gateway.signal(signal.SIGSTOP)
             async with asyncio.timeout(SOON):
@@ -55,17 +55,17 @@
 
     async def test() -> None:
         async with soak_bed(tmp_path, 4) as bed:
-            assert await bed.ask("before") == 200
+            assert await bed.send_request("before") == 200
             _, writer = await bed.connect()
             await asyncio.sleep(0.05)
             bed.gateway.signal(signal.SIGSTOP)
-            writer.write(bed.text("gone"))
+            writer.write(bed.make_request("gone"))
             await asyncio.sleep(0.02)
             writer.close()
             await asyncio.sleep(SUSPENDED)
             bed.gateway.signal(signal.SIGCONT)
             await asyncio.sleep(0.3)
             assert not bed.requests["gone"].attempts
-            assert await bed.ask("after") == 200
+            assert await bed.send_request("after") == 200
 
     run(test)
--- a/tests/test_incident_outage.py
+++ b/tests/test_incident_outage.py
@@ -23,17 +23,17 @@
     async def test() -> None:
         async with soak_bed(tmp_path, BACKENDS) as bed:
             for number in range(2 * BACKENDS):
-                assert await bed.ask(f"before-{number}") == 200
+                assert await bed.send_request(f"before-{number}") == 200
             for other in ("b2", "b3"):  # the pause followed the second answer
-                bed.agent.hear([bed.entry(other, "DRAINING")])
+                bed.agent.apply_changes([bed.entry(other, "DRAINING")])
                 await asyncio.sleep(CHANGE_INTERVAL)
             drained = time.monotonic()
-            bed.agent.hear([bed.entry("b0", "DRAINING")])
+            bed.agent.apply_changes([bed.entry("b0", "DRAINING")])
             await asyncio.sleep(CHANGE_INTERVAL)
             bed.agent.set_down(True)
             await asyncio.sleep(drained + GRACE - time.monotonic())
             for number in range(20):
-                assert await bed.ask(f"after-{number}") == 200
-            assert not bed.sends_to("b0", drained + GRACE, time.monotonic())
+                assert await bed.send_request(f"after-{number}") == 200
+            assert not bed.attempt_times("b0", drained + GRACE, time.monotonic())
 
     run(test)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from embersill.lab.soak.backends import address_of
-from embersill.lab.soak.checks import ProcessLife, SeenPlay, check_all
-from embersill.lab.soak.clients import BadClient, read_patiently
-from embersill.lab.soak.command import BadSeeds, read_seed_list, read_seeds
+from embersill.lab.soak.backends import backend_address
+from embersill.lab.soak.checks import ProcessLife, PlayRecord, check_all
+from embersill.lab.soak.clients import BadClient, read_message_within
+from embersill.lab.soak.command import InvalidSeeds, parse_seed_list, parse_seeds
 from embersill.lab.soak.deployment import Deployment, RequestClass
-from embersill.lab.soak.discovery_agent import Told, ToldEnd
-from embersill.lab.soak.lateness import AROUND, Lateness
+from embersill.lab.soak.discovery_agent import DrainHistory, DrainPeriod
+from embersill.lab.soak.lateness import AFFECTED_WINDOW, Lateness
 from embersill.lab.soak.observations import Attempt, AttemptEnd, ClientRequest
 from embersill.lab.soak.plan import Fault, draw_plan
 from embersill.lab.soak.play import build_shim, play_plan
@@ -34,7 +34,7 @@
 def asked(repeats: str = "repeatable", **more: float) -> ClientRequest:
     """A request that was served well at once."""
     made = ClientRequest(
-        "r1", 0, "c", "basis", repeats, 2.0, BEGAN, answered_at=BEGAN + 0.1, status=200, whole=True
+        "r1", 0, "c", "basis", repeats, 2.0, BEGAN, answered_at=BEGAN + 0.1, status=200, complete=True
     )
     for name, value in more.items():
         setattr(made, name, value)
@@ -50,7 +50,7 @@
     return made
 
 
-def seen(*requests: ClientRequest, **more: object) -> SeenPlay:
+def seen(*requests: ClientRequest, **more: object) -> PlayRecord:
     attempts: dict[str, list[Attempt]] = {}
     for request in requests:
         for attempt in request.attempts:
@@ -60,16 +60,16 @@
         "zone": {"b0": "a", "b1": "b"},
         "cell": {"b0": "0", "b1": "1"},
     }
-    made = SeenPlay(
-        FORM, list(requests), attempts, {}, {0: Told()}, {0: []}, [ProcessLife(0, 0.0)], [], 10.0, Lateness(),
-        groups,
+    made = PlayRecord(
+        FORM, list(requests), attempts, {}, {0: DrainHistory()}, {0: []}, [ProcessLife(0, 0.0)], [], 10.0,
+        Lateness(), groups,
     )
     for name, value in more.items():
         setattr(made, name, value)
     return made
 
 
-def rules(play: SeenPlay) -> list[str]:
+def rules(play: PlayRecord) -> list[str]:
     return [violation.rule for violation in check_all(play)]
 
 
@@ -89,8 +89,8 @@
         (asked(answered_at=inf), True),
         (asked(answered_at=BEGAN + 2.6), True),
         (asked(answered_at=BEGAN + 2.4), False),
-        (asked(whole=False), True),
-        (asked(answered_at=inf, left_at=BEGAN + 0.5), False),
+        (asked(complete=False), True),
+        (asked(answered_at=inf, disconnected_at=BEGAN + 0.5), False),
         (asked(answered_at=inf, closed_at=BEGAN + 0.5), True),
         (asked(answered_at=inf, closed_at=BEGAN + 0.05), False),  # it crossed the close
     ],
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize(("left", "began", "broken"), [(0.2, 0.25, False), (0.2, 0.4, True)])
 def test_no_attempt_begins_after_the_client_has_closed(left: float, began: float, broken: bool) -> None:
-    request = with_attempts(asked(left_at=BEGAN + left), sent(began, budget=1.5))
+    request = with_attempts(asked(disconnected_at=BEGAN + left), sent(began, budget=1.5))
     assert rules(seen(request)) == ["lost"] * broken
 
 
@@ -162,7 +162,7 @@
 ) -> None:
     play = seen(
         with_attempts(asked(), sent()),
-        told={0: Told({"b0": [ToldEnd(BEGAN + told, until)]})},
+        drain_histories={0: DrainHistory({"b0": [DrainPeriod(BEGAN + told, until)]})},
         reloads={0: reloads},
     )
     assert rules(play) == ["drain"] * broken
@@ -171,7 +171,7 @@
 def test_a_cold_backends_budget_is_one_for_all_gateways() -> None:
     def play(calls: int) -> list[str]:
         requests = [with_attempts(asked(), sent(0.001 * n)) for n in range(calls)]
-        return rules(seen(*requests, starts={"b0": [BEGAN]}, deployment=replace(FORM, ceiling=0.0)))
+        return rules(seen(*requests, cold_starts={"b0": [BEGAN]}, deployment=replace(FORM, ceiling=0.0)))
 
     # twice a fifth of ten a second over two seconds are eight, and three roots of that and three on top
     assert play(19) == [] and play(22) == ["failback"]
@@ -205,7 +205,7 @@
 def test_thin_ceilings_heavy_work_and_a_counter_in_trouble_are_drawn_in_a_good_part_of_the_days() -> None:
     plans = [draw_plan(seed) for seed in range(1, 201)]
     thin = [p for p in plans if 0 < p.deployment.ceiling * p.deployment.burst < p.deployment.spread]
-    heavy = [p for p in plans if p.work > 0.36 * p.deployment.classes[0].aim]
+    heavy = [p for p in plans if p.mean_work_time > 0.36 * p.deployment.classes[0].aim]
     troubled = [p for p in plans if any(f.fault is Fault.COUNTER for f in p.faults)]
     assert min(len(thin), len(heavy), len(troubled)) >= 40
 
@@ -222,7 +222,7 @@
 
 def test_no_service_is_owed_beyond_quotas_or_to_who_left_or_by_a_gateway_that_ends() -> None:
     beyond = [asked(written_at=BEGAN, status=429) for _ in range(29)]  # a burst of ten
-    left = [asked(written_at=BEGAN + n, left_at=BEGAN + n + 0.5, answered_at=inf) for n in range(40)]
+    left = [asked(written_at=BEGAN + n, disconnected_at=BEGAN + n + 0.5, answered_at=inf) for n in range(40)]
     short = [asked(written_at=BEGAN + n, budget=0.1, status=429) for n in range(40)]
     ends = [asked(written_at=BEGAN + n, status=429) for n in range(40)]
     assert rules(seen(*beyond)) == rules(seen(*left)) == rules(seen(*short)) == []
@@ -230,10 +230,10 @@
 
 
 def test_only_lateness_around_the_judged_moment_excuses() -> None:
-    request = with_attempts(asked(left_at=BEGAN + 0.2), sent(0.4, budget=1.5))
-    for at, broken in ((BEGAN + 0.3, False), (BEGAN + 0.4 + 2 * AROUND, True)):
+    request = with_attempts(asked(disconnected_at=BEGAN + 0.2), sent(0.4, budget=1.5))
+    for at, broken in ((BEGAN + 0.3, False), (BEGAN + 0.4 + 2 * AFFECTED_WINDOW, True)):
         late = Lateness()
-        late.note(at, 0.1)
+        late.record(at, 0.1)
         assert rules(seen(request, lateness=late)) == ["lost"] * broken
 
 
@@ -242,7 +242,7 @@
 
     async def play(comes: bool) -> str:
         reader = asyncio.StreamReader()
-        reading = asyncio.create_task(read_patiently(reader, 0.02))
+        reading = asyncio.create_task(read_message_within(reader, 0.02))
         await asyncio.sleep(0)
         time.sleep(0.05)
         if comes:
@@ -256,16 +256,16 @@
 
 
 def test_backends_have_addresses_of_their_own() -> None:
-    addresses = {address_of(n) for n in range(70_000)}
+    addresses = {backend_address(n) for n in range(70_000)}
     assert len(addresses) == 70_000 and all(a.startswith("127.") for a in addresses)
 
 
 def test_seeds_are_read() -> None:
-    assert read_seed_list("1-3,10") == [1, 2, 3, 10] and read_seed_list("") == []
-    assert list(read_seeds("3")) == [3] and list(read_seeds("2-4")) == [2, 3, 4]
+    assert parse_seed_list("1-3,10") == [1, 2, 3, 10] and parse_seed_list("") == []
+    assert list(parse_seeds("3")) == [3] and list(parse_seeds("2-4")) == [2, 3, 4]
     for wrong in ("x", "4-2", "", "1-x"):
-        with pytest.raises(BadSeeds):
-            read_seeds(wrong)
+        with pytest.raises(InvalidSeeds):
+            parse_seeds(wrong)
 
 
 def test_a_planted_fault_is_caught_and_told_with_its_log(tmp_path: pathlib.Path) -> None:
