--- a/embersill/lab/soak/__init__.py
+++ b/embersill/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: real gateway processes on loopback, with peers that misbehave as a seed draws it."""
+"""Fault soak: real gateway processes on loopback, with peers and faults drawn at random from a seed."""
--- a/embersill/lab/soak/backends.py
+++ b/embersill/lab/soak/backends.py
@@ -1,4 +1,4 @@
-"""Thousands of backends behind one listening socket: each has an address of its own in 127.0.0.0/8."""
+"""Thousands of backends behind one listening socket, each with its own address in 127.0.0.0/8."""
 
 from __future__ import annotations
 
@@ -15,58 +15,59 @@
 from embersill.lab.soak.observations import Attempt, AttemptEnd, ClientRequest
 
 LOOPBACK_DEVICE = b"lo"
-FIRST_SUBNET = 64  # backend addresses begin at 127.64.0.1
+FIRST_SUBNET = 64  # second byte of the first address, 127.64.0.1
 BACKLOG = 4096
 REJECTED_RESPONSE = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Behaviour(Enum):
-    """What a backend does with the requests that come to it."""
+    """What a backend does with the requests that it receives."""
 
     SERVE = "serve"
     REJECT = "reject"  # 503 with X-Rejected
     FAIL = "fail"  # 500
-    HANG = "hang"  # takes requests and says nothing
-    RESET = "reset"  # resets the connection under the request
-    BREAK_OFF = "break off"  # half an answer, then a reset
-    ANSWER_TWICE = "answer twice"  # a second answer some milliseconds later
-    CLOSE_IDLE = "close idle"  # closes each connection right after its answer, unannounced
-    PIECES = "pieces"  # answers in small pieces
+    HANG = "hang"  # accepts requests and never answers
+    RESET = "reset"  # resets the connection while the request is open
+    BREAK_OFF = "break off"  # resets the connection before the end of the answer
+    ANSWER_TWICE = "answer twice"  # sends a second answer 3 ms later
+    CLOSE_IDLE = "close idle"  # closes the connection right after the answer, without Connection: close
+    PIECES = "pieces"  # sends the answer in pieces of 7 bytes
 
 
 @dataclass(slots=True)
 class BackendModel:
-    """One backend: where it listens and what it does now."""
+    """One backend: its address, current behaviour and the attempts that it received."""
 
     name: str
     address: str
-    mean_work_time: float = 0.01  # seconds for a request
+    mean_work_time: float = 0.01  # seconds; exponentially distributed
     behaviour: Behaviour = Behaviour.SERVE
     attempts: list[Attempt] = field(default_factory=list)
 
 
 def backend_address(number: int) -> str:
-    """The address of the n-th backend; distinct for up to four million of them."""
-    place = number + 1
-    return f"127.{FIRST_SUBNET + (place >> 16)}.{place >> 8 & 255}.{place & 255}"
+    """The address of the n-th backend; distinct for up to four million backends."""
+    host = number + 1
+    return f"127.{FIRST_SUBNET + (host >> 16)}.{host >> 8 & 255}.{host & 255}"
 
 
 class BackendServer:
-    """Accepts for all backends; whom a connection was meant for is told by its local address."""
+    """Accepts connections for all backends; the local address of a connection identifies its backend."""
 
     def __init__(self, names: list[str], requests: dict[str, ClientRequest], seed: int = 0) -> None:
         self.models = {name: BackendModel(name, backend_address(n)) for n, name in enumerate(names)}
         self.by_address = {model.address: model for model in self.models.values()}
         self.requests, self.rng = requests, random.Random(seed)
-        self.unknown_call_ids: list[str] = []  # call ids that no client sent
+        self.unknown_call_ids: list[str] = []  # received, but sent by no client
+        # Called with each attempt received in full, before it is added to the request.
         self.on_attempt: Callable[[ClientRequest, Attempt], None] = lambda request, attempt: None
         self.port = 0
         self.connections: set[BackendProtocol] = set()
-        self.accepted_count = 0  # connections so far
+        self.accepted_count = 0  # connections accepted so far
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens on the loopback device alone, whatever address of it is called."""
+        """Listens on all addresses of the loopback device, and on no other device."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
         listener.bind(("0.0.0.0", 0))
@@ -78,11 +79,12 @@
         return f"{self.models[name].address}:{self.port}"
 
     def break_connections(self, name: str) -> None:
-        """As a crash of that backend would."""
+        """Resets all connections of a backend, as its crash would."""
         for connection in [c for c in self.connections if c.model.name == name]:
             connection.reset()
 
     def stop(self) -> None:
+        """Closes the listener and resets all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -90,7 +92,7 @@
 
 
 class BackendProtocol(asyncio.Protocol):
-    """One connection of a gateway to a backend."""
+    """One connection of a gateway to a backend; expects one request at a time."""
 
     model: BackendModel
 
@@ -121,6 +123,7 @@
             self.on_request(headers)
 
     def on_request(self, headers: dict[bytes, bytes]) -> None:
+        """Called when a request is received in full: records the attempt and schedules its answer."""
         assert self.transport is not None
         call_id = headers.get(b"x-call-id", b"").decode()
         request = self.server.requests.get(call_id)
@@ -143,13 +146,14 @@
         return None
 
     def respond(self, call_id: str, attempt: Attempt) -> None:
+        """Answers an attempt, or fails it, as the backend's behaviour says."""
         if self.transport is None or attempt.end is not AttemptEnd.OPEN:
             return
         body = b"served " + call_id.encode()
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         match self.model.behaviour:
             case Behaviour.SERVE:
-                self.answer(whole, AttemptEnd.ANSWERED)
+                self.answer(response, AttemptEnd.ANSWERED)
             case Behaviour.REJECT:
                 self.answer(REJECTED_RESPONSE, AttemptEnd.REJECTED)
             case Behaviour.FAIL:
@@ -160,17 +164,17 @@
                 self.end_attempt(AttemptEnd.BROKEN)
                 self.reset()
             case Behaviour.BREAK_OFF:
-                self.answer(whole[:-4], AttemptEnd.BROKEN)
+                self.answer(response[:-4], AttemptEnd.BROKEN)
                 self.reset()
             case Behaviour.ANSWER_TWICE:
-                self.answer(whole, AttemptEnd.ANSWERED)
-                self.loop.call_later(0.003, self.write, whole)
+                self.answer(response, AttemptEnd.ANSWERED)
+                self.loop.call_later(0.003, self.write, response)
             case Behaviour.CLOSE_IDLE:
-                self.answer(whole, AttemptEnd.ANSWERED)
+                self.answer(response, AttemptEnd.ANSWERED)
                 self.transport.close()
             case Behaviour.PIECES:
-                for place in range(0, len(whole), 7):
-                    self.loop.call_later(0.0005 * place, self.write, whole[place : place + 7])
+                for offset in range(0, len(response), 7):
+                    self.loop.call_later(0.0005 * offset, self.write, response[offset : offset + 7])
                 self.end_attempt(AttemptEnd.ANSWERED)
 
     def answer(self, text: bytes, end: AttemptEnd) -> None:
@@ -182,11 +186,13 @@
             self.transport.write(text)
 
     def end_attempt(self, end: AttemptEnd) -> None:
+        """Records how the current attempt ended, if it is still open."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None and attempt.end is AttemptEnd.OPEN:
             attempt.end, attempt.ended_at, attempt.descriptor = end, time.monotonic(), -1
 
     def reset(self) -> None:
+        """Closes the connection with RST."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/embersill/lab/soak/counter.py
+++ b/embersill/lab/soak/counter.py
@@ -1,4 +1,4 @@
-"""The counter of a soak, and what can go wrong with it."""
+"""The counter of a soak, and the faults that it can show."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from embersill.lab.peers import Peer, read_call, total_text
 from embersill.lab.scale.resp import BUSY, LONGEST_LIFE_SECONDS, OK, AddCall, CounterModel
 
-MAX_LATE_DELAY = 0.3  # seconds that an answer takes at the most while the counter is slow
+MAX_LATE_DELAY = 0.3  # seconds that an answer takes at most in the state LATE
 
 
 class CounterState(Enum):
     """How the counter answers."""
 
     PROMPT = "prompt"
-    SILENT = "silent"  # adds, and says nothing
-    LATE = "late"
-    BUSY = "busy"  # turns calls away
+    SILENT = "silent"  # adds, but does not answer
+    LATE = "late"  # adds and answers after a random delay
+    BUSY = "busy"  # refuses calls without adding
 
 
 class CounterServer(Peer):
-    """Adds to names as the protocol has it, in the state that the play sets."""
+    """Adds amounts to names by the counter's protocol; `state` is set from outside."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -32,16 +32,16 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            words = await read_call(reader)
-            if len(words) != 4:
+            arguments = await read_call(reader)
+            if len(arguments) != 4:
                 writer.write(OK)
             elif self.state is CounterState.BUSY:
                 writer.write(BUSY)
             else:
                 if self.state is CounterState.LATE:
                     await asyncio.sleep(self.rng.uniform(0.0, MAX_LATE_DELAY))
-                life = min(float(words[3]) / 1000.0, LONGEST_LIFE_SECONDS)
-                self.model.reserve(words[1])
-                total = self.model.add(AddCall(words[1], float(words[2]), life))
+                life = min(float(arguments[3]) / 1000.0, LONGEST_LIFE_SECONDS)
+                self.model.reserve(arguments[1])
+                total = self.model.add(AddCall(arguments[1], float(arguments[2]), life))
                 if self.state is not CounterState.SILENT and not writer.is_closing():
                     writer.write(total_text(total))
--- a/embersill/lab/soak/deployment.py
+++ b/embersill/lab/soak/deployment.py
@@ -1,35 +1,36 @@
-"""The deployment that a soak plays: classes, plans and limits, in the form that the platform tells them."""
+"""The deployment that a soak runs: classes, plans and limits, written as the platform's configuration."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-GRACE = 1.0  # seconds for sends to a backend after it was told to drain or to be gone
-MAX_COUNTED_DEADLINE, KILL_MARGIN = 3.0, 0.7  # seconds: SIGKILL after SIGTERM, as the protocol page has it
+GRACE = 1.0  # seconds for which sends to a backend may go on after it is listed as draining or removed
+# Seconds. By the protocol SIGKILL may follow SIGTERM after the longest deadline, capped, plus a margin.
+MAX_COUNTED_DEADLINE, KILL_MARGIN = 3.0, 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; times in seconds."""
+    """A class of requests, with its aim and its deadline in seconds."""
 
     name: str
     repeats: str  # "repeatable", "by_key" or "once"
     aim: float
     deadline: float
-    scope: str = "all"
-    window: float = 0.0  # in which a repeat of a keyed request is dropped
+    scope: str = "all"  # group of backends that deduplicates keyed requests: "all", "zone" or "cell"
+    window: float = 0.0  # seconds for which a keyed request is deduplicated
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What the gateways are told besides lists and addresses."""
+    """The settings and limits that all gateways get; times in seconds."""
 
     gateways: int
     classes: tuple[RequestClass, ...]
-    rate: float = 40.0  # units a second of a customer
+    rate: float = 40.0  # units per second of a customer
     burst: float = 80.0
-    ceiling: float = 0.0  # times rate and burst; 0: none
+    ceiling: float = 0.0  # as a multiple of rate and burst; 0: no ceiling
     cold_from: float = 0.2
     warm_within: float = 8.0
     fall_multiple: float = 2.0
@@ -37,9 +38,9 @@
     dial_timeout: float = 0.25
     keepalive: float = 15.0
     memory_mb: int = 96
-    sockets: int = 640
-    spread: int = 0  # gateways of each customer's set; 0: those that are played
-    configured_gateways: int = 0  # how many the settings say there are, where these are a part of a larger fleet
+    sockets: int = 640  # limit of open descriptors
+    spread: int = 0  # gateways that share a customer's quota; 0: those that run
+    configured_gateways: int = 0  # number in the settings, if only a part of them runs; 0: those that run
 
     @property
     def customer_gateways(self) -> int:
@@ -48,17 +49,17 @@
 
     @property
     def fleet_size(self) -> int:
-        """Gateways that the settings tell of."""
+        """Number of gateways in the settings."""
         return self.configured_gateways or self.gateways
 
     def kill_delay(self) -> float:
-        """Seconds after SIGTERM at which SIGKILL may come."""
+        """Seconds after SIGTERM at which SIGKILL may follow."""
         return min(max(c.deadline for c in self.classes), MAX_COUNTED_DEADLINE) + KILL_MARGIN
 
-    def settings(self, me: int) -> dict[str, Any]:
-        """The settings object of a gateway's configuration, in milliseconds."""
+    def settings(self, gateway_index: int) -> dict[str, Any]:
+        """The settings object of a gateway's configuration, with times in milliseconds."""
         return {
-            "me": me,
+            "me": gateway_index,
             "balancers": self.fleet_size,
             "zone": "a",
             "membership_mode": "pushed",
@@ -120,7 +121,12 @@
 def backend_entry(
     name: str, host_port: str, number: int, state: str = "SERVING", started: float = 0.0
 ) -> dict[str, Any]:
-    """A backend in discovery's form; `started`: Unix time in seconds, 0 for long ago."""
+    """A backend's entry in the discovery list.
+
+    Args:
+        number: determines the zone and the cell.
+        started: when the backend started, in Unix time; 0 if long ago.
+    """
     return {
         "instanceId": name,
         "hostPort": host_port,
--- a/embersill/lab/soak/gateway_process.py
+++ b/embersill/lab/soak/gateway_process.py
@@ -1,4 +1,4 @@
-"""One real gateway: started by the deploy file's `run`, signalled, and looked at from outside."""
+"""One real gateway process: started by the deploy file's `run`, signalled and observed from outside."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from embersill.lab.peers import HOST, free_port, is_ready
 from embersill.lab.versions import HERE, deployed
 
-READY_TIMEOUT = 20.0  # seconds
+READY_TIMEOUT = 20.0  # seconds from the start
 
 
 class NotReady(Exception):
-    """A gateway ended, or never said that it is ready."""
+    """A gateway ended during its start, or was not ready in time."""
 
 
 class GatewayProcess:
-    """A process of a gateway; a restart makes another one with the same number and port."""
+    """A process of a gateway; a restart creates a new object with the same number and port."""
 
     def __init__(
         self,
@@ -31,17 +31,23 @@
         port: int = 0,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        """`folder` is the process's own, and new; the port is found where none is given."""
+        """Prepares a process without starting it.
+
+        Args:
+            folder: for the configuration and the log; created at the start. Shared only with a predecessor.
+            port: the port to listen on; 0 picks a free one.
+            environment: variables added to this process's own.
+        """
         self.number, self.folder = number, folder
         self.port = port or free_port()
         self.environment = dict(environment or {})
         self.configuration = {**configuration, "listen": f"{HOST}:{self.port}"}
         self.child: asyncio.subprocess.Process | None = None
-        self.stop_requested = False  # by a signal of ours
+        self.stop_requested = False  # SIGTERM or SIGKILL was sent
         self.log_path = folder / "log"
 
     async def start(self) -> None:
-        """Starts it, and waits until it is ready; NotReady tells the last line of its log."""
+        """Starts the process and waits until it is ready. Raises NotReady with the last line of its log."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.write_configuration()
         command = os.environ.get("EMBERSILL_RUN") or deployed(HERE)["run"]
@@ -60,22 +66,24 @@
         except TimeoutError:
             raise NotReady(f"gateway {self.number}: {self.last_log_line()}") from None
         if self.child.returncode is not None and not self.stop_requested:
-            raise NotReady(f"gateway {self.number} ended with {self.child.returncode}: {self.last_log_line()}")
+            raise NotReady(
+                f"gateway {self.number} exited with {self.child.returncode}: {self.last_log_line()}"
+            )
 
     def write_configuration(self) -> None:
-        """Whole or not at all, as the gateway may read it at any time."""
-        new = self.folder / "config.json.new"
-        new.write_text(json.dumps(self.configuration))
-        new.replace(self.folder / "config.json")
+        """Replaces the file atomically, as the gateway may read it at any time."""
+        new_file = self.folder / "config.json.new"
+        new_file.write_text(json.dumps(self.configuration))
+        new_file.replace(self.folder / "config.json")
 
     def last_log_line(self) -> str:
         lines = self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []
         return lines[-1] if lines else "its log is empty"
 
-    def has_logged(self, text: str, since: int) -> bool:
-        """Whether the log holds this behind so many bytes."""
+    def has_logged(self, text: str, offset: int) -> bool:
+        """Whether the log contains `text` after its first `offset` bytes."""
         with self.log_path.open("rb") as log:
-            log.seek(since)
+            log.seek(offset)
             return text.encode() in log.read()
 
     @property
@@ -83,26 +91,29 @@
         return self.child is not None and self.child.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
+        """Sends a signal if the process is running."""
         if self.child is not None and self.child.returncode is None:
             if number in (signal.SIGTERM, signal.SIGKILL):
                 self.stop_requested = True
             self.child.send_signal(number)
 
     async def wait(self) -> int:
+        """Waits for the end of the process and returns its exit code."""
         assert self.child is not None
         return await self.child.wait()
 
     def peak_memory_mb(self) -> float:
-        """VmHWM; 0 where the process is gone."""
+        """Peak resident memory (VmHWM); 0 if the process has ended."""
         assert self.child is not None
         try:
             status = pathlib.Path(f"/proc/{self.child.pid}/status").read_text()
         except OSError:
             return 0.0
-        line = next((x for x in status.splitlines() if x.startswith("VmHWM")), "VmHWM: 0 kB")
+        line = next((line for line in status.splitlines() if line.startswith("VmHWM")), "VmHWM: 0 kB")
         return int(line.split()[1]) / 1024.0
 
     def processor_seconds(self) -> float:
+        """Processor time used so far, user and system; 0 if the process has ended."""
         assert self.child is not None
         try:
             fields = pathlib.Path(f"/proc/{self.child.pid}/stat").read_text().rpartition(")")[2].split()
@@ -111,6 +122,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def descriptors(self) -> int:
+        """Number of open descriptors; 0 if the process has ended."""
         assert self.child is not None
         try:
             return len(os.listdir(f"/proc/{self.child.pid}/fd"))
--- a/embersill/lab/soak/growth.py
+++ b/embersill/lab/soak/growth.py
@@ -1,7 +1,8 @@
-"""`python -m embersill.lab growth`: what a gateway needs as the list grows, against the bounds of operations.
+"""`python -m embersill.lab growth`: a gateway's resource use as the list grows.
 
-The same day at the usual size and with more backends: the same requests at each gateway, the same capacity in
-all, and a release that replaces half of the backends.
+Runs the same day at the usual size and with more backends: the same request rate at each gateway, the same
+total capacity, and a release that replaces half of the backends. What is used is checked against the bounds
+of operations.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 
 USUAL_BACKENDS = 200  # backends
 SIZE_FACTORS = (1, 4, 16)
-GATEWAY_COUNT = 4  # processes; the settings tell FLEET, of which these are the first
-FLEET_SIZE = 200
-REQUEST_RATE = 25.0  # requests a second at each
-RELEASE_AT, REPLACED_SHARE = 5.0, 0.5
-MIN_SERVED_FACTOR = 0.85  # times the share at the usual size
+GATEWAY_COUNT = 4  # gateways that run: the first of FLEET_SIZE
+FLEET_SIZE = 200  # gateways in the settings
+REQUEST_RATE = 25.0  # requests per second at each gateway
+RELEASE_AT, REPLACED_SHARE = 5.0, 0.5  # seconds from the start; share of the backends
+MIN_SERVED_FACTOR = 0.85  # lower bound of the served share, as a multiple of that at the usual size
 EXIT_OK, EXIT_OVER_BOUND = 0, 3
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUse:
-    """What a gateway needed in a day, in the mean of all."""
+    """Resources that a gateway used in a day, as the mean over all gateways; written to growth.json."""
 
     backends: int
     processor_seconds: float
@@ -38,18 +39,19 @@
     descriptors: float
     connections: float
     list_kb: float
-    served: float
+    served: float  # share of the requests
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """So many times the usual, plus a constant, plus so much for each thousand backends."""
+    """Upper bound: a multiple of the usual use, plus a constant, plus an amount per 1000 backends."""
 
     factor: float
     constant: float
     per_thousand_backends: float = 0.0
 
     def limit(self, usual: float, backends: int) -> float:
+        """The bound, where `usual` is the use at the usual size."""
         return self.factor * usual + self.constant + self.per_thousand_backends * backends / 1000.0
 
 
@@ -63,19 +65,28 @@
 
 
 def make_plan(backends: int, seconds: float) -> SoakPlan:
-    """A day with a release and nothing else."""
+    """A day whose only fault is a release."""
     classes = (
         RequestClass("view", "repeatable", 2.0, 4.0),
         RequestClass("sign", "by_key", 2.0, 4.0, "cell", 10.0),
     )
     deployment = Deployment(
-        GATEWAY_COUNT, classes, rate=1000.0, burst=1000.0, memory_mb=192, sockets=1024, configured_gateways=FLEET_SIZE
+        GATEWAY_COUNT,
+        classes,
+        rate=1000.0,
+        burst=1000.0,
+        memory_mb=192,
+        sockets=1024,
+        configured_gateways=FLEET_SIZE,
     )
     release = ScheduledFault(RELEASE_AT, Fault.REPLACE, 0.0, 0, REPLACED_SHARE, Behaviour.SERVE)
-    return SoakPlan(1, seconds, backends, REQUEST_RATE, deployment, (release,), (ShimSetting(),) * GATEWAY_COUNT)
+    return SoakPlan(
+        1, seconds, backends, REQUEST_RATE, deployment, (release,), (ShimSetting(),) * GATEWAY_COUNT
+    )
 
 
 def resource_use(result: PlayResult) -> ResourceUse:
+    """The mean use per gateway in a day."""
     served = result.served / max(result.requests, 1)
     return ResourceUse(
         result.plan.backends,
@@ -89,7 +100,7 @@
 
 
 def exceeded_bounds(usual: ResourceUse, grown: ResourceUse) -> list[str]:
-    """The needs that grew by more than is allowed."""
+    """Names of the resources over their bounds, and "served" if too few requests were served."""
     found = []
     for name, bound in BOUNDS.items():
         if getattr(grown, name) > bound.limit(getattr(usual, name), grown.backends):
@@ -98,7 +109,7 @@
 
 
 def format_table(rows: list[ResourceUse]) -> str:
-    """In Markdown: what was needed, and in brackets what is allowed."""
+    """A Markdown table of the resources used, with the bounds in brackets."""
     lines = ["| backends | " + " | ".join(BOUNDS) + " | served |", "| --- " * (len(BOUNDS) + 2) + "|"]
     for row in rows:
         cells = []
@@ -110,26 +121,28 @@
 
 
 def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Adds the command to the laboratory's."""
-    made = commands.add_parser("growth", help="what a gateway needs at 1, 4 and 16 times the usual backends")
-    made.add_argument("--seconds", type=float, default=30.0, help="of each day (default %(default)s)")
-    made.add_argument("--out", type=pathlib.Path, metavar="DIR", help="keep logs and growth.json there")
+    """Adds the `growth` command."""
+    parser = commands.add_parser(
+        "growth", help="what a gateway needs at 1, 4 and 16 times the usual backends"
+    )
+    parser.add_argument("--seconds", type=float, default=30.0, help="of each day (default %(default)s)")
+    parser.add_argument("--out", type=pathlib.Path, metavar="DIR", help="keep logs and growth.json there")
 
 
-def run_command(told: argparse.Namespace, say: Callable[[str], None] = print) -> int:
-    """Plays the days one after the other; 3 where a bound is passed."""
-    with tempfile.TemporaryDirectory() as own:
-        folder = told.out or pathlib.Path(own)
+def run_command(options: argparse.Namespace, report: Callable[[str], None] = print) -> int:
+    """Runs the days one after the other; returns EXIT_OVER_BOUND if a bound is exceeded."""
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = options.out or pathlib.Path(temporary)
         rows: list[ResourceUse] = []
-        for times in SIZE_FACTORS:
-            plan = make_plan(USUAL_BACKENDS * times, told.seconds)
+        for factor in SIZE_FACTORS:
+            plan = make_plan(USUAL_BACKENDS * factor, options.seconds)
             result, _ = play_plan(plan, folder / f"backends-{plan.backends}", None, {"EMBERSILL_TRACE": "0"})
             rows.append(resource_use(result))
             for violation in result.violations[:5]:
-                say(f"{plan.backends} backends: {violation}")
+                report(f"{plan.backends} backends: {violation}")
         (folder / "growth.json").write_text(json.dumps([asdict(row) for row in rows], indent=1))
-    say(format_table(rows))
+    report(format_table(rows))
     over = {row.backends: found for row in rows[1:] if (found := exceeded_bounds(rows[0], row))}
     for backends, names in over.items():
-        say(f"over its bound at {backends} backends: {', '.join(names)}")
+        report(f"over its bound at {backends} backends: {', '.join(names)}")
     return EXIT_OVER_BOUND if over else EXIT_OK
--- a/embersill/lab/soak/play.py
+++ b/embersill/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one day of a soak: starts peers and gateways, lets the plan's faults happen, and checks the rules."""
+"""Runs one day of a soak: starts peers and gateways, injects the planned faults and checks the rules."""
 
 from __future__ import annotations
 
@@ -31,24 +31,25 @@
 from embersill.net.bodies import closed_by_peer
 
 SHIM_SOURCE = pathlib.Path(__file__).parent / "shim.c"
-PAUSE_TIME = 0.15  # seconds
-PAUSE_COUNT = 8  # in a row
-POLL_INTERVAL = 0.02  # seconds between looks for how late this process is itself
-MAX_START_TIME = 10.0  # seconds, of a process that is started anew
-FINAL_WAIT = 1.5  # seconds after the last request's deadline
-REPLACEMENT_TIME = 3.0  # seconds in which a part of the backends is replaced
-DRAIN_TIME = 1.5  # seconds from a backend's drain to its end
-WARM_CAPACITY_FACTOR = 1.25  # times what a backend gets in the mean where fewest serve: what a warm one can do
-FORGET_BELOW_SHARE = 0.3  # part of a fault below which a counter that was in trouble has lost its names
-EARLY_SIGTERM_DELAY = (0.02, 0.6)  # seconds from a start, in which it is told to end
-HANDED_OVER_LOG = "handed over to a successor"  # in the log of a process that an upgrade replaces
-HAND_OVER_TIMEOUT = 5.0  # seconds from a successor's start, after which its predecessor is ended all the same
-MIN_SERVING_SHARE = 0.4  # of all backends that no fault takes out together
-MAX_LATE_SHARE = 0.1  # of the day in which the peers themselves ran late, from which it says nothing
+PAUSE_TIME = 0.15  # seconds between SIGSTOP and SIGCONT
+PAUSE_COUNT = 8  # pauses of one HOLD_UP fault
+POLL_INTERVAL = 0.02  # seconds between samples of lateness and descriptors, and of the hand-over's log
+MAX_START_TIME = 10.0  # seconds from the start of a process until it is ready
+FINAL_WAIT = 1.5  # seconds after the last request's deadline, before the checks
+REPLACEMENT_TIME = 3.0  # seconds over which the replacement of the chosen backends is spread
+DRAIN_TIME = 1.5  # seconds from the start of a backend's drain to its removal
+# Capacity of a warm backend, as a multiple of its mean load when the fewest backends serve.
+WARM_CAPACITY_FACTOR = 1.25
+FORGET_BELOW_SHARE = 0.3  # a counter fault with a smaller share ends with the loss of all names
+EARLY_SIGTERM_DELAY = (0.02, 0.6)  # seconds from the start of a process to its SIGTERM: minimum, maximum
+HANDED_OVER_LOG = "handed over to a successor"  # logged by a process that an upgrade replaces
+HAND_OVER_TIMEOUT = 5.0  # seconds after the successor is ready; then the predecessor is ended regardless
+MIN_SERVING_SHARE = 0.4  # of all backends; faults together leave at least this share serving
+MAX_LATE_SHARE = 0.1  # of the day; when the peers ran late for longer, the run is void
 
 
 def build_shim(folder: pathlib.Path) -> pathlib.Path:
-    """Compiles the shim; CalledProcessError where the compiler refuses it."""
+    """Compiles the shim that makes system calls fail. Raises CalledProcessError if compilation fails."""
     made = folder / "shim.so"
     subprocess.run(["cc", "-shared", "-fPIC", "-O2", "-o", str(made), str(SHIM_SOURCE), "-ldl"], check=True)
     return made
@@ -56,30 +57,30 @@
 
 @dataclass(slots=True)
 class PlayResult:
-    """What came of a day."""
+    """Violations and measurements of one day."""
 
     plan: SoakPlan
     violations: list[Violation] = field(default_factory=list)
     requests: int = 0
     served: int = 0
-    max_lateness: float = 0.0  # seconds, of the peers themselves at the most
-    total_lateness: float = 0.0  # seconds
+    max_lateness: float = 0.0  # seconds, of the peers' own process
+    total_lateness: float = 0.0  # seconds; see Lateness.total
     peak_memory_mb: float = 0.0
     max_descriptors: int = 0
-    processor_seconds: float = 0.0  # of all gateways that run at the end
-    mean_memory_mb: float = 0.0  # of their peaks
-    mean_descriptors: float = 0.0  # of those of each at the most
-    connections: int = 0  # made to backends
-    list_bytes: int = 0  # that the agents wrote
+    processor_seconds: float = 0.0  # of all gateways that are running at the end
+    mean_memory_mb: float = 0.0  # mean of the gateways' peaks
+    mean_descriptors: float = 0.0  # mean of the gateways' peaks
+    connections: int = 0  # opened to backends
+    list_bytes: int = 0  # written by the discovery agents
 
     @property
     def void(self) -> bool:
-        """True where this machine was too busy for the play to say anything."""
+        """Whether this machine was too busy for the result to be meaningful."""
         return self.total_lateness > MAX_LATE_SHARE * self.plan.seconds
 
 
 class SoakPlay:
-    """One day, from its start to its end."""
+    """One day: its peers, its gateway processes and the faults injected into them."""
 
     def __init__(
         self,
@@ -104,36 +105,44 @@
         self.counter = CounterServer(plan.seed)
         self.lateness = Lateness()
         self.agents: list[DiscoveryAgent] = []
-        self.gateways: list[GatewayProcess] = []  # the newest process of each that serves
-        self.processes: list[GatewayProcess] = []  # all that were started
+        self.gateways: list[GatewayProcess] = []  # current process of each gateway
+        self.processes: list[GatewayProcess] = []  # every process started so far
         self.clients: list[GatewayClients] = []
         self.lives: list[ProcessLife] = []
         self.reloads: dict[int, list[float]] = {}
         self.violations: list[Violation] = []
-        self.descriptor_peaks: dict[int, int] = {}  # of each gateway, at the most
-        self.min_serving = len(self.backend_names)  # backends, at any time of the day
-        self.restarting: set[int] = set()  # gateways that are being restarted
-        self.upgrading: set[int] = set()  # gateways with a successor beside them
-        self.reloading: Counter[int] = Counter()  # how many moves of discovery a gateway follows
+        self.descriptor_peaks: dict[int, int] = {}  # by gateway
+        self.min_serving = len(self.backend_names)  # fewest backends serving at any time so far
+        self.restarting: set[int] = set()  # gateways
+        self.upgrading: set[int] = set()  # gateways whose successor is running as well
+        self.reloading: Counter[int] = Counter()  # by gateway: reload faults under way
         self.tasks: set[asyncio.Task[None]] = set()
         self.result = PlayResult(plan)
 
-    # the parts
+    # peers and gateways
 
     def entry(self, name: str) -> dict[str, Any]:
+        """The backend's current entry in the discovery list."""
         return backend_entry(
-            name, self.backends.host_port(name), int(name[1:]), self.backend_states[name], self.backend_started_at[name]
+            name,
+            self.backends.host_port(name),
+            int(name[1:]),
+            self.backend_states[name],
+            self.backend_started_at[name],
         )
 
     def on_attempt(self, request: ClientRequest, attempt: Attempt) -> None:
-        """A whole attempt has come: no earlier one may be out any more."""
+        """Called with each attempt received in full: no earlier attempt of the request may still be open."""
         for earlier in request.attempts:
             if earlier.end is AttemptEnd.OPEN and not closed_by_peer((earlier.descriptor,)):
                 self.violations.append(
-                    Violation("duplicate", request.call_id, f"out at {earlier.backend} and {attempt.backend}")
+                    Violation(
+                        "duplicate", request.call_id, f"open at {earlier.backend} and {attempt.backend}"
+                    )
                 )
 
     async def start(self) -> None:
+        """Starts the peers and all gateways, and waits until the gateways are ready."""
         await self.backends.start()
         await self.counter.start()
         entries = [self.entry(name) for name in self.backend_names]
@@ -156,13 +165,20 @@
             )
 
     def make_gateway(
-        self, number: int, turn: int, port: int, folder: pathlib.Path | None = None
+        self, number: int, index: int, port: int, folder: pathlib.Path | None = None
     ) -> GatewayProcess:
-        """The `turn`-th process of a gateway; `folder`: its predecessor's, if that is still running."""
+        """Prepares a process of a gateway without starting it.
+
+        Args:
+            number: the gateway's index.
+            index: how many processes of this gateway were ready before.
+            port: the port to listen on; 0 picks a free one.
+            folder: the folder of a predecessor that is still running; a new one by default.
+        """
         plan, agent = self.plan, self.agents[number]
         environment = {"EMBERSILL_TRACE": "1", **self.environment}
         if self.shim is not None:
-            setting = plan.shims[number].encode(plan.seed * 1000 + number * 10 + turn, turn > 0)
+            setting = plan.shims[number].encode(plan.seed * 1000 + number * 10 + index, index > 0)
             environment |= {"LD_PRELOAD": str(self.shim), "SOAK_SHIM": setting}
         configuration = {
             "name": f"n{number}",
@@ -178,79 +194,85 @@
                 "sockets": plan.deployment.sockets,
             },
         }
-        folder = folder or self.folder / f"n{number}-{turn}"
+        folder = folder or self.folder / f"n{number}-{index}"
         return GatewayProcess(number, folder, configuration, port, environment)
 
     async def launch(self, gateway: GatewayProcess) -> None:
-        began = time.monotonic()
+        """Starts a process and waits until it is ready; a failure or a slow start is a violation."""
+        started_at = time.monotonic()
         self.processes.append(gateway)
         try:
             await gateway.start()
         except NotReady as error:
             self.violations.append(Violation("crash", "", str(error)))
             return
-        took = time.monotonic() - began
+        took = time.monotonic() - started_at
         if took > MAX_START_TIME and not gateway.stop_requested:
             self.violations.append(Violation("ready", "", f"gateway {gateway.number} took {took:.1f} s"))
         self.lives.append(ProcessLife(gateway.number, time.monotonic()))
         self.spawn(self.watch_exit(gateway))
 
     async def watch_exit(self, gateway: GatewayProcess) -> None:
-        """A process that ends by itself has crashed, also with a failure after SIGTERM."""
+        """Records a crash if the process exits unasked, or with an error code after SIGTERM."""
         code = await gateway.wait()
         if not gateway.stop_requested or code not in (0, -signal.SIGKILL, -signal.SIGTERM):
             self.violations.append(
-                Violation("crash", "", f"gateway {gateway.number} ended with {code}: {gateway.last_log_line()}")
+                Violation(
+                    "crash", "", f"gateway {gateway.number} exited with {code}: {gateway.last_log_line()}"
+                )
             )
 
     def is_up(self, number: int) -> bool:
+        """Whether clients may send requests to this gateway, also while it is ending after SIGTERM."""
         return self.gateways[number].running and (
             number not in self.restarting or self.current_life(number).terminated_at < float("inf")
         )
 
     def current_life(self, number: int) -> ProcessLife:
+        """The life of the gateway's newest process that became ready."""
         return next(life for life in reversed(self.lives) if life.gateway == number)
 
-    def update_life(self, life: ProcessLife, **changed: Any) -> ProcessLife:
-        changed_life = replace(life, **changed)
-        self.lives[self.lives.index(life)] = changed_life
-        return changed_life
+    def update_life(self, life: ProcessLife, **changes: Any) -> ProcessLife:
+        updated_life = replace(life, **changes)
+        self.lives[self.lives.index(life)] = updated_life
+        return updated_life
 
-    # what goes wrong
+    # faults
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self.loop.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
         return task
 
     def on_task_done(self, task: asyncio.Task[None]) -> None:
-        """A fault that could not happen makes the play say less than it seems to: it counts as broken."""
+        """Records a failed task as a violation: a fault that was not injected would go unnoticed."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.violations.append(Violation("soak", "", f"a part of the play failed: {task.exception()!r}"))
+            self.violations.append(Violation("soak", "", f"a task of the run failed: {task.exception()!r}"))
 
     def publish_changes(self, names: list[str]) -> None:
-        """All agents are told of changes, each a little later."""
+        """Publishes the backends' current entries to all agents, to each after a random delay."""
         entries = [self.entry(name) for name in names]
         for agent in self.agents:
             self.loop.call_later(self.rng.uniform(0.0, 0.2), agent.apply_changes, entries)
 
-    def pick_backends(self, part: float) -> list[str]:
-        """A part of those that serve; enough of all stay."""
+    def pick_backends(self, share: float) -> list[str]:
+        """A random share of the serving backends, limited so that MIN_SERVING_SHARE of all still serve."""
         serving = [name for name, state in self.backend_states.items() if state == "SERVING"]
         spare = max(len(serving) - round(MIN_SERVING_SHARE * len(self.backend_names)), 0)
-        return self.rng.sample(serving, min(round(part * len(serving)), spare))
+        return self.rng.sample(serving, min(round(share * len(serving)), spare))
 
     async def replace_backends(self, names: list[str]) -> None:
-        """Each drains, is gone, and comes back cold; changes come singly, as in a release."""
-        steps = max(1, len(names) // 200)
-        for first in range(0, len(names), steps):
-            now = names[first : first + steps]
-            self.spawn(self.replace_batch(now))
-            await asyncio.sleep(REPLACEMENT_TIME * steps / len(names))
+        """Drains, removes and restarts backends in batches spread over REPLACEMENT_TIME, as in a release."""
+        batch_size = max(1, len(names) // 200)
+        for first in range(0, len(names), batch_size):
+            batch = names[first : first + batch_size]
+            self.spawn(self.replace_batch(batch))
+            await asyncio.sleep(REPLACEMENT_TIME * batch_size / len(names))
 
     async def replace_batch(self, names: list[str]) -> None:
+        """Drains and removes the backends; 0.3 s later they are listed again as just started."""
         self.set_states(names, "DRAINING")
         await asyncio.sleep(DRAIN_TIME)
         self.set_states(names, "DELETED")
@@ -261,13 +283,15 @@
         self.set_states(names, "SERVING")
 
     def set_states(self, names: list[str], state: str) -> None:
+        """Sets the lifecycle state of backends and publishes it."""
         for name in names:
             self.backend_states[name] = state
-        serving = sum(now == "SERVING" for now in self.backend_states.values())
+        serving = sum(current == "SERVING" for current in self.backend_states.values())
         self.min_serving = min(self.min_serving, serving)
         self.publish_changes(names)
 
     async def inject_fault(self, fault: ScheduledFault) -> None:
+        """Injects a fault, and ends it after its duration if it has one."""
         number, agent, names = fault.gateway, self.agents[fault.gateway], self.pick_backends(fault.share)
         match fault.fault:
             case Fault.REPLACE:
@@ -307,10 +331,10 @@
                 await self.upgrade(number)
             case Fault.HOLD_UP:
                 for _ in range(PAUSE_COUNT):
-                    held_up = self.gateways[number]  # an upgrade may put another in its place
-                    held_up.signal(signal.SIGSTOP)
+                    paused = self.gateways[number]  # read each time: an upgrade may replace the process
+                    paused.signal(signal.SIGSTOP)
                     await asyncio.sleep(PAUSE_TIME)
-                    held_up.signal(signal.SIGCONT)
+                    paused.signal(signal.SIGCONT)
                     await asyncio.sleep(self.rng.uniform(0.0, 0.2))
             case Fault.RELOAD:
                 await self.reload(number, names)
@@ -323,7 +347,7 @@
                 await self.clients[number].hold_idle_connections(self.plan.deployment.sockets, fault.duration)
 
     async def disturb_counter(self, fault: ScheduledFault) -> None:
-        """The counter is in trouble for a while, and has forgotten all names behind it half of the times."""
+        """Makes the counter silent, late or busy; a share below FORGET_BELOW_SHARE also clears its names."""
         self.counter.state = self.rng.choice([CounterState.SILENT, CounterState.LATE, CounterState.BUSY])
         await asyncio.sleep(fault.duration)
         self.counter.state = CounterState.PROMPT
@@ -331,13 +355,15 @@
             self.counter.model.forget_all()
 
     def can_replace_process(self, number: int) -> bool:
-        """Whether no other process of this gateway is coming or going."""
+        """Whether the gateway is running and no restart or upgrade of it is under way."""
         return number not in self.restarting | self.upgrading and self.gateways[number].running
 
     def next_process_index(self, number: int) -> int:
+        """How many processes of this gateway have been ready so far."""
         return sum(life.gateway == number for life in self.lives)
 
     async def restart(self, number: int, fault: Fault) -> None:
+        """Ends the gateway's process as the fault says and starts a new one on the same port."""
         if not self.can_replace_process(number):
             return
         self.restarting.add(number)
@@ -355,46 +381,52 @@
         self.restarting.discard(number)
 
     async def start_and_terminate(self, number: int, port: int) -> None:
-        """A process that is told to end before it is ready, or right then; it has to end by itself."""
-        early = self.make_gateway(number, self.next_process_index(number), port, self.folder / f"n{number}-early")
+        """Starts a process and sends it SIGTERM before or just after it is ready; it has to exit in time."""
+        early = self.make_gateway(
+            number, self.next_process_index(number), port, self.folder / f"n{number}-early"
+        )
         starting = self.spawn(self.launch(early))
         await asyncio.sleep(self.rng.uniform(*EARLY_SIGTERM_DELAY))
         await self.terminate_and_wait(early)
         if early.running:
-            self.violations.append(Violation("crash", "", f"gateway {number} did not end while it started"))
+            self.violations.append(
+                Violation("crash", "", f"gateway {number} did not exit on SIGTERM during its start")
+            )
             early.signal(signal.SIGKILL)
         await starting
 
     async def terminate(self, gateway: GatewayProcess, life: ProcessLife) -> ProcessLife:
-        """SIGTERM, and the time until SIGKILL may come, or until it has ended."""
+        """Sends SIGTERM, notes when, and waits until the process exits or SIGKILL may follow."""
         life = self.update_life(life, terminated_at=time.monotonic())
         await self.terminate_and_wait(gateway)
         return life
 
     async def terminate_and_wait(self, gateway: GatewayProcess) -> None:
+        """Sends SIGTERM and waits until the process exits, at most `Deployment.kill_delay()` seconds."""
         gateway.signal(signal.SIGTERM)
         kill_at = time.monotonic() + self.plan.deployment.kill_delay()
         while gateway.running and time.monotonic() < kill_at:
             await asyncio.sleep(0.005)
 
     async def kill(self, gateway: GatewayProcess, life: ProcessLife) -> None:
-        """SIGKILL to what has not ended by itself."""
+        """Sends SIGKILL if the process is still running, and notes how it ended."""
         killed = gateway.running
         gateway.signal(signal.SIGKILL)
         self.update_life(life, ended_at=time.monotonic(), killed=killed)
         await gateway.wait()
 
     async def upgrade(self, number: int) -> None:
-        """A successor takes over the listener, the state and the clients, and then the old process ends."""
+        """Starts a successor, waits until it has taken over, and then ends the old process."""
         if self.reloading[number] or not self.can_replace_process(number):
             return
         self.upgrading.add(number)
         old, old_life = self.gateways[number], self.current_life(number)
         new = self.make_gateway(number, self.next_process_index(number), old.port, old.folder)
-        logged = old.log_path.stat().st_size  # bytes so far: the log is shared, and may tell of hand-overs before
+        # Both processes write to the same log, which may hold earlier hand-overs: search from here on.
+        log_offset = old.log_path.stat().st_size
         await self.launch(new)
         give_up_at = time.monotonic() + HAND_OVER_TIMEOUT
-        while not old.has_logged(HANDED_OVER_LOG, logged) and old.running:
+        while not old.has_logged(HANDED_OVER_LOG, log_offset) and old.running:
             if time.monotonic() >= give_up_at:
                 break
             await asyncio.sleep(POLL_INTERVAL)
@@ -403,46 +435,48 @@
         self.upgrading.discard(number)
 
     async def reload(self, number: int, names: list[str]) -> None:
-        """Discovery moves to another address, twice in quick succession; drains begin right after."""
+        """Moves discovery to another address twice in a row; up to 20 backends drain right after."""
         if number in self.restarting | self.upgrading:
             return
         self.reloading[number] += 1
         gateway = self.gateways[number]
         for _ in range(2):
-            if self.gateways[number] is gateway:  # one that was started meanwhile knows of one move alone
+            # A process that replaced this one meanwhile already has the new address.
+            if self.gateways[number] is gateway:
                 await self.move_discovery(gateway)
         self.reloading[number] -= 1
         self.set_states(names[:20], "DRAINING")
 
     async def move_discovery(self, gateway: GatewayProcess) -> None:
+        """Starts the agent on a new port, reconfigures the gateway with SIGHUP and closes the old port."""
         agent = self.agents[gateway.number]
-        before = agent.server
+        previous_server = agent.server
         await agent.start()
         gateway.configuration["discovery"] = agent.address
         gateway.write_configuration()
         self.reloads[gateway.number].append(time.monotonic())
         gateway.signal(signal.SIGHUP)
-        if before is not None:
-            before.close()
+        if previous_server is not None:
+            previous_server.close()
         await asyncio.sleep(0.2)
 
     # the day
 
     async def run(self) -> PlayResult:
-        """All of it."""
+        """Runs the whole day and returns its result; all processes and peers are stopped at the end."""
         try:
             await self.start()
-            began = time.monotonic()
-            end = began + self.plan.seconds
-            lag = self.spawn(self.sample_load())
+            started_at = time.monotonic()
+            end = started_at + self.plan.seconds
+            sampling = self.spawn(self.sample_load())
             for clients in self.clients:
                 self.spawn(clients.run(self.plan.rate, end))
             for fault in self.plan.faults:
-                await asyncio.sleep(max(began + fault.at - time.monotonic(), 0.0))
+                await asyncio.sleep(max(started_at + fault.at - time.monotonic(), 0.0))
                 self.spawn(self.inject_fault(fault))
-            longest = max(c.deadline for c in self.plan.deployment.classes)
-            await asyncio.sleep(max(end - time.monotonic(), 0.0) + longest + FINAL_WAIT)
-            lag.cancel()
+            max_deadline = max(c.deadline for c in self.plan.deployment.classes)
+            await asyncio.sleep(max(end - time.monotonic(), 0.0) + max_deadline + FINAL_WAIT)
+            sampling.cancel()
             self.measure()
             self.check_rules()
         finally:
@@ -450,6 +484,7 @@
         return self.result
 
     async def sample_load(self) -> None:
+        """Samples this process's lateness and the gateways' open descriptors until cancelled."""
         while True:
             due = time.monotonic() + POLL_INTERVAL
             await asyncio.sleep(POLL_INTERVAL)
@@ -457,17 +492,22 @@
             self.lateness.record(now, now - due)
             for gateway in self.gateways:
                 if gateway.running:
-                    held = gateway.descriptors()
-                    self.descriptor_peaks[gateway.number] = max(self.descriptor_peaks.get(gateway.number, 0), held)
+                    descriptors = gateway.descriptors()
+                    self.descriptor_peaks[gateway.number] = max(
+                        self.descriptor_peaks.get(gateway.number, 0), descriptors
+                    )
             self.result.max_descriptors = max(self.descriptor_peaks.values(), default=0)
 
     def measure(self) -> None:
+        """Fills in the result's measurements and checks the limits of memory and descriptors."""
         self.result.max_lateness, self.result.total_lateness = self.lateness.maximum(), self.lateness.total()
         running = [gateway for gateway in self.gateways if gateway.running]
         self.result.peak_memory_mb = max((g.peak_memory_mb() for g in running), default=0.0)
         self.result.processor_seconds = sum(g.processor_seconds() for g in running)
         self.result.mean_memory_mb = sum(g.peak_memory_mb() for g in running) / max(len(running), 1)
-        self.result.mean_descriptors = sum(self.descriptor_peaks.values()) / max(len(self.descriptor_peaks), 1)
+        self.result.mean_descriptors = sum(self.descriptor_peaks.values()) / max(
+            len(self.descriptor_peaks), 1
+        )
         self.result.connections = self.backends.accepted_count
         self.result.list_bytes = sum(agent.bytes_written for agent in self.agents)
         limits = self.plan.deployment
@@ -477,13 +517,14 @@
             self.violations.append(Violation("descriptors", "", str(self.result.max_descriptors)))
 
     def check_rules(self) -> None:
+        """Runs all checks on what the peers observed and fills in the result."""
         plan, requests = self.plan, list(self.requests.values())
-        total = plan.rate * plan.deployment.fleet_size
+        total_rate = plan.rate * plan.deployment.fleet_size
         groups = {"all": dict.fromkeys(self.backend_names, ""), "zone": {}, "cell": {}}
         for name in self.backend_names:
             entry = self.entry(name)
             groups["zone"][name], groups["cell"][name] = entry["zone"], str(entry["cell"])
-        seen = PlayRecord(
+        record = PlayRecord(
             plan.deployment,
             requests,
             {m.name: m.attempts for m in self.backends.models.values()},
@@ -492,21 +533,24 @@
             self.reloads,
             self.lives,
             [bad for clients in self.clients for bad in clients.bad_clients],
-            WARM_CAPACITY_FACTOR * total / max(self.min_serving, 1),
+            WARM_CAPACITY_FACTOR * total_rate / max(self.min_serving, 1),
             self.lateness,
             groups,
         )
-        unknown = [Violation("duplicate", call_id, "no client sent it") for call_id in self.backends.unknown_call_ids]
+        unknown = [
+            Violation("duplicate", call_id, "no client sent it") for call_id in self.backends.unknown_call_ids
+        ]
         failures = [
-            Violation("soak", "", f"a client failed: {what}")
+            Violation("soak", "", f"a client failed: {failure}")
             for clients in self.clients
-            for what in clients.failures
+            for failure in clients.failures
         ]
-        self.result.violations = [*self.violations, *failures, *unknown, *check_all(seen)]
+        self.result.violations = [*self.violations, *failures, *unknown, *check_all(record)]
         self.result.requests = len(requests)
         self.result.served = sum(r.status == 200 and r.complete for r in requests)
 
     async def stop(self) -> None:
+        """Cancels all tasks, kills all gateway processes and stops the peers."""
         for task in list(self.tasks):
             task.cancel()
         for gateway in self.processes:
@@ -518,22 +562,22 @@
             await peer.stop()
 
     def peer_lines(self, call_id: str) -> list[str]:
-        """When a request was written and its attempts came, and how late the peers were then."""
-        request, ahead = self.requests.get(call_id), time.time() - time.monotonic()
+        """One line for the sending of a request and for each attempt, each with the peers' own lateness."""
+        request, unix_offset = self.requests.get(call_id), time.time() - time.monotonic()
         if request is None:
             return []
-        late, written = self.lateness.maximum_near(request.written_at), request.written_at + ahead
+        late, written = self.lateness.maximum_near(request.written_at), request.written_at + unix_offset
         lines = [f"peers: at={written:.4f} event=written request={call_id} late={late:.4f}"]
-        for place, attempt in enumerate(request.attempts):
+        for index, attempt in enumerate(request.attempts):
             late = self.lateness.maximum_near(attempt.received_at)
             lines.append(
-                f"peers: at={attempt.received_at + ahead:.4f} event=attempt_came request={call_id} "
-                f"attempt={place} backend={attempt.backend} late={late:.4f}"
+                f"peers: at={attempt.received_at + unix_offset:.4f} event=attempt_came request={call_id} "
+                f"attempt={index} backend={attempt.backend} late={late:.4f}"
             )
         return lines
 
     def log_lines(self, call_id: str) -> list[str]:
-        """What the peers saw of a request, by the clock of the gateways' logs, and what these tell of it."""
+        """What the peers and the gateways' logs recorded of a request, with times in Unix time."""
         found = self.peer_lines(call_id)
         for path in sorted(self.folder.glob("n*/log")):
             lines = path.read_text(errors="replace").splitlines()
@@ -547,9 +591,12 @@
     shim: pathlib.Path | None,
     environment: Mapping[str, str] | None = None,
 ) -> tuple[PlayResult, list[str]]:
-    """Plays a day; its result, and the log's lines of requests for which a rule broke."""
+    """Runs a day and writes result.json to `folder`.
+
+    Returns the result and the log lines of up to five requests that broke a rule.
+    """
 
-    async def whole() -> tuple[PlayResult, list[str]]:
+    async def run_play() -> tuple[PlayResult, list[str]]:
         play = SoakPlay(plan, folder, shim, environment)
         result = await play.run()
         ids = dict.fromkeys(v.call_id for v in result.violations if v.call_id)
@@ -557,7 +604,7 @@
 
     folder.mkdir(parents=True, exist_ok=True)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        result, lines = runner.run(whole())
+        result, lines = runner.run(run_play())
     (folder / "result.json").write_text(
         json.dumps(
             {
--- a/tests/soak_bed.py
+++ b/tests/soak_bed.py
@@ -1,4 +1,4 @@
-"""Real gateways with the soak's peers around them, for tests that play one fault by hand."""
+"""A real gateway with the soak's peers, for tests that inject one fault themselves."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SoakBed:
-    """Backends, one agent and one counter; gateways are started by the test."""
+    """Backends, a discovery agent, a counter and one gateway process."""
 
     def __init__(self, folder: pathlib.Path, backends: int, deployment: Deployment) -> None:
         self.folder, self.deployment = folder, deployment
@@ -35,6 +35,7 @@
         self.gateway: GatewayProcess
 
     async def start(self, **more: Any) -> None:
+        """Starts the peers and the gateway; `more` overrides keys of its configuration."""
         await self.backends.start()
         await self.counter.start()
         self.agent = DiscoveryAgent([self.entry(name) for name in self.names])
@@ -43,6 +44,7 @@
         await self.gateway.start()
 
     def configuration(self, **more: Any) -> dict[str, Any]:
+        """The gateway's configuration; `more` overrides its keys."""
         return {
             "name": "n0",
             "discovery": self.agent.address,
@@ -62,7 +64,7 @@
         return backend_entry(name, self.backends.host_port(name), self.names.index(name), state, started)
 
     def make_request(self, call_id: str, klass: RequestClass = LOOKUP, budget: float = 5.0) -> bytes:
-        """A request, which the backends know from now on."""
+        """Registers a request at the backends and returns the bytes to send."""
         self.requests[call_id] = ClientRequest(
             call_id, 0, "00000000000000c1", "basis", klass.repeats, budget, time.monotonic()
         )
@@ -86,16 +88,16 @@
         return await asyncio.open_connection(HOST, self.gateway.port)
 
     async def send_request(self, call_id: str) -> int:
-        """A request on a connection of its own; the status of its answer."""
+        """Sends a request on a new connection and returns the status of its answer."""
         reader, writer = await self.connect()
         writer.write(self.make_request(call_id))
         async with asyncio.timeout(SOON):
-            first, _, _ = await read_message(reader)
+            status_line, _, _ = await read_message(reader)
         writer.close()
-        return int(first.split()[1])
+        return int(status_line.split()[1])
 
     def attempt_times(self, name: str, since: float, until: float = inf) -> list[float]:
-        """When attempts began at a backend, as seconds after `since`."""
+        """When attempts started at a backend between two times, in seconds after `since`."""
         return [
             a.first_byte_at - since
             for a in self.backends.models[name].attempts
@@ -103,6 +105,7 @@
         ]
 
     async def stop(self) -> None:
+        """Kills the gateway and stops the peers."""
         if self.gateway.running:
             assert self.gateway.child is not None
             self.gateway.child.kill()
@@ -116,6 +119,7 @@
 async def soak_bed(
     folder: pathlib.Path, backends: int, deployment: Deployment | None = None, **more: Any
 ) -> AsyncIterator[SoakBed]:
+    """Runs a started SoakBed; `more` overrides keys of the gateway's configuration."""
     bed = SoakBed(folder, backends, deployment or Deployment(1, (LOOKUP, BOOKING), rate=1000.0, burst=1000.0))
     await bed.start(**more)
     try:
--- a/tests/soak_mutants/__main__.py
+++ b/tests/soak_mutants/__main__.py
@@ -1,7 +1,7 @@
-"""python -m tests.soak_mutants [NAME ...]: plants each fault in real gateways and plays until a rule breaks.
+"""python -m tests.soak_mutants [NAME ...]: mutation test of the soak's checks.
 
-The checkers of the soak are checked by it: each mutant has to be caught within ten seeds, by a rule that is
-its own. It is run by hand, as it takes some minutes.
+Runs real gateways with one planted fault each. Each mutant has to be caught within ten seeds by one of the rules
+listed for it. Run by hand, as it takes some minutes.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from embersill.lab.soak.plan import Fault, ScheduledFault, SoakPlan, draw_plan
 from embersill.lab.soak.play import build_shim, play_plan
 
-MAX_SEEDS, SECONDS, BACKENDS = 10, 10.0, 200
-# the rules by which each may be found
+MAX_SEEDS, SECONDS, BACKENDS = 10, 10.0, 200  # SECONDS: length of a day
+# Rules that count as catching each mutant.
 MUTANTS = {
     "sends to what drains": {"drain"},
     "stops following the list": {"drain"},
@@ -40,13 +40,17 @@
 
 
 def plan_for(name: str, seed: int) -> SoakPlan:
-    """A drawn day; a fault that shows only under load gets one with few busy backends and a release."""
+    """The day of a seed, changed for mutants that need more load or a certain fault to show."""
     plan = draw_plan(seed, SECONDS, BACKENDS)
     if name == "goes on for clients that left":
         rejecting = ScheduledFault(1.0, Fault.MISBEHAVE, SECONDS, 0, 0.6, Behaviour.REJECT)
         return replace(plan, mean_work_time=0.4, faults=(rejecting,))
     if name == "drops all at SIGTERM":
-        return replace(plan, mean_work_time=0.4, faults=(ScheduledFault(3.0, Fault.TERMINATE, 0.0, 0, 0.0, Behaviour.SERVE),))
+        return replace(
+            plan,
+            mean_work_time=0.4,
+            faults=(ScheduledFault(3.0, Fault.TERMINATE, 0.0, 0, 0.0, Behaviour.SERVE),),
+        )
     if name != "takes cold backends for warm":
         return plan
     release = ScheduledFault(2.0, Fault.REPLACE, 0.0, 0, 0.2, Behaviour.SERVE)
@@ -56,7 +60,7 @@
 
 
 def find_catching_seed(name: str, folder: pathlib.Path, shim: pathlib.Path) -> tuple[int, str]:
-    """The seed at which a mutant is caught, or 0, and by what."""
+    """The first seed at which a mutant is caught, or 0, and the violation found."""
     environment = {"PYTHONPATH": str(pathlib.Path(__file__).parent), "SOAK_MUTANT": name}
     for seed in range(1, MAX_SEEDS + 1):
         plan = plan_for(name, seed)
@@ -68,15 +72,15 @@
 
 
 def main(names: list[str]) -> int:
-    """0 where every mutant was caught."""
+    """Returns 0 if every mutant was caught, else 1."""
     missed = 0
-    with tempfile.TemporaryDirectory() as own:
-        folder = pathlib.Path(own)
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = pathlib.Path(temporary)
         shim = build_shim(folder)
         for name in names or list(MUTANTS):
-            seed, what = find_catching_seed(name, folder, shim)
+            seed, violation = find_catching_seed(name, folder, shim)
             missed += not seed
-            print(f"{name}: seed {seed or '-'}: {what}", flush=True)
+            print(f"{name}: seed {seed or '-'}: {violation}", flush=True)
     print(f"{len(names or MUTANTS) - missed} caught, {missed} not caught")
     return 1 if missed else 0
 
--- a/tests/soak_mutants/sitecustomize.py
+++ b/tests/soak_mutants/sitecustomize.py
@@ -1,8 +1,8 @@
 # mypy: ignore-errors
-# (it puts other functions in the place of methods, which is what a mutant is)
-"""Loaded at the start of a gateway that the mutants' run starts: plants the fault that SOAK_MUTANT names.
+# (it replaces methods of the gateway by other functions)
+"""Imported by Python at the start of a gateway: plants the fault that SOAK_MUTANT names.
 
-In no other process: it stands on the path only where tests/soak_mutants.py puts it.
+Only gateways started by tests/soak_mutants/__main__.py and test_soak.py have this folder on their path.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def plant(name: str) -> None:
-    """One fault for each rule."""
+    """Replaces functions of the gateway so that it shows the fault."""
     from embersill import control
     from embersill.interface import Outcome, BackendStatus
     from embersill.net import backends, clients, discovery, driver, pool
@@ -25,11 +25,11 @@
         return count["n"] % times == 0
 
     if name == "sends to what drains":
-        take_entry = control.Gateway.apply_entry
+        apply_entry = control.Gateway.apply_entry
 
         def keeps_draining(self, backend):
             if backend.status is BackendStatus.SERVING or self.servers.get(backend.address) is None:
-                take_entry(self, backend)
+                apply_entry(self, backend)
 
         control.Gateway.apply_entry = keeps_draining
         pool.Pool.retire = lambda self, backend: None
@@ -47,14 +47,14 @@
         driver.Driver.on_client_disconnected = lambda self, number: None
         driver.Driver.is_abandoned = lambda self, pending: pending.ended
     elif name == "tells backends more time":
-        use = pool.Pool.assign
+        assign = pool.Pool.assign
 
-        def tells_more(self, place, link, attempt):
-            carry, link.send = link.action_handlers, lambda a, wait: carry(a, wait + 1.0)
-            use(self, place, link, attempt)
-            del link.send
+        def adds_to_budget(self, backend_pool, connection, attempt):
+            send, connection.send = connection.send, lambda a, wait: send(a, wait + 1.0)
+            assign(self, backend_pool, connection, attempt)
+            del connection.send
 
-        pool.Pool.assign = tells_more
+        pool.Pool.assign = adds_to_budget
     elif name == "sends two copies":
         start = backends.Dialer.start
 
@@ -76,15 +76,15 @@
     elif name == "takes every failure for harmless":
         Outcome.never_ran = property(lambda self: True)
     elif name == "repeats keyed requests anywhere":
-        control.group_of = lambda klass, server: ""
+        control.group_of = lambda request_class, server: ""
         ServingSet.group = lambda self, scope, key: self.all.items
     elif name == "changes answers":
         finish = driver.Driver.finish
 
-        def changes(self, pending, status=0, body=b"", headers=b"", reason=""):
+        def changes_body(self, pending, status=0, body=b"", headers=b"", reason=""):
             finish(self, pending, status, body[:-1] if status == 200 and every(20) else body, headers, reason)
 
-        driver.Driver.finish = changes
+        driver.Driver.finish = changes_body
     elif name == "forgets to answer":
         refuse = driver.Driver.refuse
         driver.Driver.fail_unanswered = lambda self, pending: None
@@ -100,12 +100,12 @@
 
         clients.Exchange.answer = closes
     elif name == "crashes":
-        take = driver.Driver.accept_request
+        accept_request = driver.Driver.accept_request
 
-        def crashes(self, call, exchange):
+        def crashes(self, request, exchange):
             if every(120):
                 os._exit(1)
-            return take(self, call, exchange)
+            return accept_request(self, request, exchange)
 
         driver.Driver.accept_request = crashes
     elif name == "takes cold backends for warm":
@@ -121,23 +121,23 @@
     elif name == "serves nobody":
         control.Gateway.should_shed = lambda self, job: True
     elif name == "leaks descriptors":
-        take_socket = clients.ClientServer.start_connection
+        start_connection = clients.ClientServer.start_connection
 
-        def leaks(self, sock, *told):
+        def leaks(self, sock, *arguments):
             for _ in range(20):
                 try:
                     os.dup(sock.fileno())
                 except OSError:
                     break
-            take_socket(self, sock, *told)
+            start_connection(self, sock, *arguments)
 
         clients.ClientServer.start_connection = leaks
     elif name == "leaks memory":
-        kept, taken = [], driver.Driver.accept_request
+        kept, accept_request = [], driver.Driver.accept_request
 
-        def keeps(self, call, exchange):
+        def keeps(self, request, exchange):
             kept.append(bytearray(os.urandom(64)) * 16384)
-            return taken(self, call, exchange)
+            return accept_request(self, request, exchange)
 
         driver.Driver.accept_request = keeps
     elif name == "waits for half requests for ever":
