--- a/embersill/lab/soak/checks.py
+++ b/embersill/lab/soak/checks.py
@@ -96,7 +96,7 @@
         slack = TIME_LIMIT_SLACK + late
         if attempt.first_byte_at > request.disconnected_at + MAX_START_AFTER_CLOSE + slack:
             delay = attempt.first_byte_at - request.disconnected_at
-            yield Violation("lost", request.call_id, f"attempt {index} started {delay:.3f} s after the close")
+            yield Violation("lost", request.call_id, f"attempt {index} began {delay:.3f} s after the close")
         remaining = request.written_at + request.budget - attempt.received_at
         if attempt.budget > remaining + BUDGET_SLACK + slack:
             detail = f"sent a budget of {attempt.budget:.3f} s with {remaining:.3f} s left"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -134,7 +134,9 @@
 
 def test_a_backend_gets_no_larger_budget_than_the_client_has_left() -> None:
     assert violations(make_record(with_attempts(make_request(), make_attempt(0.5, budget=1.6)))) == []
-    assert violations(make_record(with_attempts(make_request(), make_attempt(0.5, budget=1.8)))) == ["deadline"]
+    assert violations(make_record(with_attempts(make_request(), make_attempt(0.5, budget=1.8)))) == [
+        "deadline"
+    ]
 
 
 @pytest.mark.parametrize(
@@ -245,11 +247,17 @@
 def test_requests_over_quota_of_disconnected_clients_or_at_an_ending_gateway_need_no_service() -> None:
     beyond = [make_request(written_at=START, status=429) for _ in range(29)]  # a burst of ten
     left = [
-        make_request(written_at=START + n, disconnected_at=START + n + 0.5, answered_at=inf) for n in range(40)
+        make_request(written_at=START + n, disconnected_at=START + n + 0.5, answered_at=inf)
+        for n in range(40)
     ]
     short = [make_request(written_at=START + n, budget=0.1, status=429) for n in range(40)]
     ends = [make_request(written_at=START + n, status=429) for n in range(40)]
-    assert violations(make_record(*beyond)) == violations(make_record(*left)) == violations(make_record(*short)) == []
+    assert (
+        violations(make_record(*beyond))
+        == violations(make_record(*left))
+        == violations(make_record(*short))
+        == []
+    )
     assert violations(make_record(*ends, lives=[ProcessLife(0, 0.0, START - 1.0, inf)])) == []
 
 
