--- a/embersill/lab/soak/growth.py
+++ b/embersill/lab/soak/growth.py
@@ -19,7 +19,7 @@
 from embersill.lab.soak.plan import Fault, ScheduledFault, ShimSetting, SoakPlan
 from embersill.lab.soak.play import PlayResult, play_plan
 
-USUAL_BACKENDS = 200  # backends
+USUAL_BACKENDS = 200
 SIZE_FACTORS = (1, 4, 16)
 GATEWAY_COUNT = 4  # gateways that run: the first of FLEET_SIZE
 FLEET_SIZE = 200  # gateways in the settings
--- a/embersill/lab/soak/play.py
+++ b/embersill/lab/soak/play.py
@@ -50,9 +50,9 @@
 
 def build_shim(folder: pathlib.Path) -> pathlib.Path:
     """Compiles the shim that makes system calls fail. Raises CalledProcessError if compilation fails."""
-    made = folder / "shim.so"
-    subprocess.run(["cc", "-shared", "-fPIC", "-O2", "-o", str(made), str(SHIM_SOURCE), "-ldl"], check=True)
-    return made
+    library = folder / "shim.so"
+    subprocess.run(["cc", "-shared", "-fPIC", "-O2", "-o", str(library), str(SHIM_SOURCE), "-ldl"], check=True)
+    return library
 
 
 @dataclass(slots=True)
@@ -441,7 +441,7 @@
         self.reloading[number] += 1
         gateway = self.gateways[number]
         for _ in range(2):
-            # A process that replaced this one meanwhile already has the new address.
+            # A process that replaced this one was started with the current address: it is not moved again.
             if self.gateways[number] is gateway:
                 await self.move_discovery(gateway)
         self.reloading[number] -= 1
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -60,11 +60,13 @@
     return known
 
 
-def mark_known_failures(known: dict[str, KnownRed], items: Sequence[pytest.Item], whole: bool) -> None:
+def mark_known_failures(
+    known: dict[str, KnownRed], items: Sequence[pytest.Item], all_collected: bool
+) -> None:
     """Marks the listed tests as expected failures.
 
     Args:
-        whole: all tests were collected, so that every listed test has to be among them.
+        all_collected: all tests were collected, so that every listed test has to be among them.
 
     Raises:
         pytest.UsageError: a listed test does not exist.
@@ -72,7 +74,7 @@
     tests = {name: entry for name, entry in known.items() if entry.soak_seed is None}
     found = {item.nodeid: item for item in items}
     missing = tests.keys() - found.keys()
-    if whole and missing:
+    if all_collected and missing:
         raise pytest.UsageError(f"known to be red, but not there: {', '.join(sorted(missing))}")
     for name in tests.keys() & found.keys():
         strict = not tests[name].fails_at_times
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -126,9 +126,13 @@
     assert violations(make_record(request, lives=[life])) == ["lost"] * broken
 
 
-@pytest.mark.parametrize(("left", "began", "broken"), [(0.2, 0.25, False), (0.2, 0.4, True)])
-def test_no_attempt_starts_after_the_client_has_closed(left: float, began: float, broken: bool) -> None:
-    request = with_attempts(make_request(disconnected_at=START + left), make_attempt(began, budget=1.5))
+@pytest.mark.parametrize(("closed_at", "attempt_at", "broken"), [(0.2, 0.25, False), (0.2, 0.4, True)])
+def test_no_attempt_starts_after_the_client_has_closed(
+    closed_at: float, attempt_at: float, broken: bool
+) -> None:
+    request = with_attempts(
+        make_request(disconnected_at=START + closed_at), make_attempt(attempt_at, budget=1.5)
+    )
     assert violations(make_record(request)) == ["lost"] * broken
 
 
@@ -246,7 +250,7 @@
 
 def test_requests_over_quota_of_disconnected_clients_or_at_an_ending_gateway_need_no_service() -> None:
     beyond = [make_request(written_at=START, status=429) for _ in range(29)]  # a burst of ten
-    left = [
+    disconnected = [
         make_request(written_at=START + n, disconnected_at=START + n + 0.5, answered_at=inf)
         for n in range(40)
     ]
@@ -254,7 +258,7 @@
     ends = [make_request(written_at=START + n, status=429) for n in range(40)]
     assert (
         violations(make_record(*beyond))
-        == violations(make_record(*left))
+        == violations(make_record(*disconnected))
         == violations(make_record(*short))
         == []
     )
