--- a/embersill/lab/soak/play.py
+++ b/embersill/lab/soak/play.py
@@ -51,7 +51,9 @@
 def build_shim(folder: pathlib.Path) -> pathlib.Path:
     """Compiles the shim that makes system calls fail. Raises CalledProcessError if compilation fails."""
     library = folder / "shim.so"
-    subprocess.run(["cc", "-shared", "-fPIC", "-O2", "-o", str(library), str(SHIM_SOURCE), "-ldl"], check=True)
+    subprocess.run(
+        ["cc", "-shared", "-fPIC", "-O2", "-o", str(library), str(SHIM_SOURCE), "-ldl"], check=True
+    )
     return library
 
 
