--- a/embersill/lab/scale/aggregators.py
+++ b/embersill/lab/scale/aggregators.py
@@ -12,19 +12,19 @@
 from embersill.lab.peers import HOST, free_port
 from embersill.lab.scale.children import Child, ChildFailed, Children
 from embersill.lab.scale.deployment import ZONE, Deployment
-from embersill.lab.scale.plan import PEER_START_SECONDS
+from embersill.lab.scale.plan import PEER_START_TIMEOUT_SECONDS
 from embersill.lab.scale.records import FleetSize
 
 MODULE = "embersill.aggregator"
-UNLIMITED_CALLS = 1_000_000.0  # upstream calls a second, where the counter has no limit
-PATIENCE_PART = 2.0 / 3.0  # of the gateways' patience that a call may wait at an aggregator
-LONGEST_WAIT_MS = 50.0
+UNLIMITED_CALL_RATE = 1_000_000.0  # upstream calls a second, where the counter has no limit
+WAIT_TIMEOUT_SHARE = 2.0 / 3.0  # of the gateways' patience that a call may wait at an aggregator
+MAX_WAIT_MS = 50.0
 STATISTICS_CALL = b"*1\r\n$9\r\nAGG.STATS\r\n"
-STATISTICS_SECONDS = 5.0
+STATISTICS_TIMEOUT_SECONDS = 5.0
 CHUNK_BYTES = 65536
 
 
-class NoAggregators(Exception):
+class AggregatorsUnavailable(Exception):
     """This version has no program for aggregators."""
 
 
@@ -40,13 +40,13 @@
 def check_aggregators(wanted: int) -> None:
     """NoAggregators where some are wanted and the program is not there."""
     if wanted and importlib.util.find_spec(MODULE) is None:
-        raise NoAggregators(f"{wanted} aggregators are wanted, and there is no {MODULE} here")
+        raise AggregatorsUnavailable(f"{wanted} aggregators are wanted, and there is no {MODULE} here")
 
 
-def upstream_calls(size: FleetSize) -> float:
+def upstream_call_rate(size: FleetSize) -> float:
     """Calls a second that one aggregator may make: an even part of the counter's capacity."""
     if size.counter_calls_per_second <= 0:
-        return UNLIMITED_CALLS
+        return UNLIMITED_CALL_RATE
     return size.counter_parts * size.counter_calls_per_second / size.aggregators
 
 
@@ -64,13 +64,13 @@
         return self.forwards + self.probes
 
     @property
-    def turned_away(self) -> int:
+    def rejected_calls(self) -> int:
         return sum(self.busy.values())
 
 
-def wait_milliseconds(deployment: Deployment) -> float:
+def max_wait_ms(deployment: Deployment) -> float:
     """How long a call may wait for a new name's total: below the gateways' patience."""
-    return min(LONGEST_WAIT_MS, 1000.0 * PATIENCE_PART * deployment.counter_patience_seconds)
+    return min(MAX_WAIT_MS, 1000.0 * WAIT_TIMEOUT_SHARE * deployment.counter_timeout_seconds)
 
 
 async def start_aggregator(
@@ -80,8 +80,8 @@
     """Starts one that registers with a lease in the list service at `directory`."""
     child = await children.start_module(
         name, MODULE, "--listen", address, "--upstream", counter,
-        "--upstream-calls", f"{upstream_calls(deployment.size):g}",
-        "--wait-ms", f"{wait_milliseconds(deployment):g}",
+        "--upstream-calls", f"{upstream_call_rate(deployment.size):g}",
+        "--wait-ms", f"{max_wait_ms(deployment):g}",
         "--directory", directory, "--id", name, "--zone", ZONE, "--advertise", advertised or address)
     return Aggregator(name, address, child)
 
@@ -96,7 +96,7 @@
             children, deployment, f"aggregator-{number}", counter, directory, f"{HOST}:{free_port()}")
         for number in range(deployment.size.aggregators)]
     for aggregator in made:
-        await aggregator.child.logged("registered as", PEER_START_SECONDS)
+        await aggregator.child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
     return made
 
 
@@ -106,7 +106,7 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     parser = hiredis.Reader()
     try:
-        async with asyncio.timeout(STATISTICS_SECONDS):
+        async with asyncio.timeout(STATISTICS_TIMEOUT_SECONDS):
             writer.write(STATISTICS_CALL)
             while (reply := parser.gets()) is False:
                 data = await reader.read(CHUNK_BYTES)
--- a/embersill/lab/scale/bounds.py
+++ b/embersill/lab/scale/bounds.py
@@ -9,9 +9,9 @@
 import hiredis
 
 from embersill.lab.scale.deployment import Deployment, backend_name
-from embersill.lab.scale.list_service import MACHINE, STARTED_MS
+from embersill.lab.scale.list_service import MACHINE_TYPE, STARTED_MS
 from embersill.lab.scale.records import FleetSize, Play
-from embersill.lab.scale.resp import LONGEST_LIFE_SECONDS, MOST_NAME_BYTES
+from embersill.lab.scale.resp import MAX_LIFE_SECONDS, MAX_NAME_BYTES
 from embersill.net.discovery import MAX_WATCH_MS, MIN_WATCH_SHARE
 
 CALLS_PER_CUSTOMER = 2.0  # counter calls a second for one customer at one gateway: its demand is added once a
@@ -99,15 +99,15 @@
 
 def longest_call() -> int:
     """Bytes of the longest call of the counter in its published form."""
-    life_ms = str(round(1000.0 * LONGEST_LIFE_SECONDS))
-    words = ("CNT.ADD", "n" * MOST_NAME_BYTES, LONGEST_AMOUNT, life_ms)
+    life_ms = str(round(1000.0 * MAX_LIFE_SECONDS))
+    words = ("CNT.ADD", "n" * MAX_NAME_BYTES, LONGEST_AMOUNT, life_ms)
     return len(hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub takes one word only
 
 
 def list_bytes(entries: int) -> float:
     """Bytes of an answer of the list service with so many entries, in the published form."""
     entry = {
-        "instanceId": backend_name(0), "hostPort": "127.0.0.1:65535", "zone": "a", "machineType": MACHINE,
+        "instanceId": backend_name(0), "hostPort": "127.0.0.1:65535", "zone": "a", "machineType": MACHINE_TYPE,
         "cell": 0, "lifecycle": "DRAINING", "weight": 1.0, "startedAtMs": STARTED_MS}
     whole = {"generation": LONGEST_GENERATION, "reset": False, "instances": []}
     return len(json.dumps(whole)) + entries * (len(json.dumps(entry)) + 2)
--- a/embersill/lab/scale/children.py
+++ b/embersill/lab/scale/children.py
@@ -17,13 +17,13 @@
 from typing import Any, Self, TypeVar
 
 from embersill.lab.scale.clock import Usage, read_usage
-from embersill.lab.scale.lines import MOST_LINE
+from embersill.lab.scale.lines import MAX_LINE_BYTES
 from embersill.lab.scale.messages import Answer, Message, decode_answer, encode_line
 from embersill.lab.versions import HERE
 
 SET_PARENT_DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG of prctl(2)
 LOG_POLL_SECONDS = 0.02
-MOST_CHILDREN = 300
+MAX_CHILDREN = 300
 LIBC = ctypes.CDLL(None, use_errno=True)
 AnswerType = TypeVar("AnswerType", bound=Message)
 Result = TypeVar("Result")
@@ -37,7 +37,7 @@
     """A process that never got ready."""
 
 
-def die_with_parent() -> None:
+def request_parent_death_signal() -> None:
     """Run in a child before it becomes its program."""
     LIBC.prctl(SET_PARENT_DEATH_SIGNAL, signal.SIGKILL)
 
@@ -73,9 +73,9 @@
                 line = await self.process.stdout.readline()
         except TimeoutError:
             raise ChildFailed(
-                f"{self.name} gave no answer within {within:.0f} s{self.last_words()}") from None
+                f"{self.name} gave no answer within {within:.0f} s{self.last_log_line()}") from None
         if not line.endswith(b"\n"):
-            raise ChildFailed(f"{self.name} ended{self.last_words()}")
+            raise ChildFailed(f"{self.name} ended{self.last_log_line()}")
         answer: Answer = decode_answer(line)
         if not isinstance(answer, kind):
             raise ChildFailed(f"{self.name} answered {type(answer).__name__} in place of {kind.__name__}")
@@ -85,20 +85,20 @@
         self.send(order)
         return await self.receive(kind, within)
 
-    async def logged(self, form: str, within: float) -> re.Match[str]:
+    async def wait_for_log(self, form: str, within: float) -> re.Match[str]:
         """Waits until its log says this. ChildNotStarted."""
         try:
             async with asyncio.timeout(within):
                 while (found := re.search(form, self.log.read_text(errors="replace"))) is None:
                     if self.process.returncode is not None:
-                        raise ChildNotStarted(f"{self.name} did not start{self.last_words()}")
+                        raise ChildNotStarted(f"{self.name} did not start{self.last_log_line()}")
                     await asyncio.sleep(LOG_POLL_SECONDS)
         except TimeoutError:
             raise ChildNotStarted(
-                f"{self.name} did not start within {within:.0f} s{self.last_words()}") from None
+                f"{self.name} did not start within {within:.0f} s{self.last_log_line()}") from None
         return found
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log, to end a sentence with."""
         lines = self.log.read_text(errors="replace").split("\n")
         said = [line.strip() for line in lines if line.strip()]
@@ -108,7 +108,7 @@
         try:
             return read_usage(self.pid)
         except (OSError, ValueError, IndexError):
-            raise ChildFailed(f"{self.name} is gone{self.last_words()}") from None
+            raise ChildFailed(f"{self.name} is gone{self.last_log_line()}") from None
 
 
 class Children:
@@ -116,9 +116,9 @@
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
-        self.all: list[Child] = []
+        self.processes: list[Child] = []
         self.watchers: list[asyncio.Task[None]] = []
-        self.ended: asyncio.Future[Child] = asyncio.get_running_loop().create_future()
+        self.first_ended: asyncio.Future[Child] = asyncio.get_running_loop().create_future()
         self.starting = True  # until the play says that all are ready
         self.closing = False
 
@@ -129,7 +129,7 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.closing = True
-        for child in self.all:
+        for child in self.processes:
             if child.process.returncode is None:
                 kill_session(child.pid)
         await asyncio.gather(*self.watchers)
@@ -138,16 +138,16 @@
         self, name: str, arguments: Sequence[str], environment: Mapping[str, str] | None = None,
     ) -> Child:
         """Starts a process in a session of its own, so that Ctrl-C reaches the command alone."""
-        if len(self.all) >= MOST_CHILDREN:
-            raise ChildNotStarted(f"a play has at most {MOST_CHILDREN} processes")
+        if len(self.processes) >= MAX_CHILDREN:
+            raise ChildNotStarted(f"a play has at most {MAX_CHILDREN} processes")
         log = self.folder / f"{name}.log"
         with log.open("wb") as errors:
             process = await asyncio.create_subprocess_exec(
                 *arguments, cwd=HERE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-                stderr=errors, limit=MOST_LINE, start_new_session=True, preexec_fn=die_with_parent,
+                stderr=errors, limit=MAX_LINE_BYTES, start_new_session=True, preexec_fn=request_parent_death_signal,
                 env={**inherited_environment(), **(environment or {})})
         child = Child(name, process, log)
-        self.all.append(child)
+        self.processes.append(child)
         self.watchers.append(asyncio.create_task(self.watch(child)))
         return child
 
@@ -162,22 +162,22 @@
 
     async def watch(self, child: Child) -> None:
         await child.process.wait()
-        if not (self.closing or child.killed or self.ended.done()):
-            self.ended.set_result(child)
+        if not (self.closing or child.killed or self.first_ended.done()):
+            self.first_ended.set_result(child)
 
-    async def unless_one_ends(self, work: Coroutine[Any, Any, Result], within: float) -> Result:
+    async def run_unless_child_ends(self, work: Coroutine[Any, Any, Result], within: float) -> Result:
         """Ends the work where a process ends first, or its time is over. ChildFailed."""
         working = asyncio.create_task(work)
         try:
-            awaited: set[asyncio.Future[Any]] = {working, self.ended}
+            awaited: set[asyncio.Future[Any]] = {working, self.first_ended}
             await asyncio.wait(awaited, timeout=within, return_when=asyncio.FIRST_COMPLETED)
             if working.done():
                 return await working
-            if self.ended.done():
-                child = self.ended.result()
+            if self.first_ended.done():
+                child = self.first_ended.result()
                 code = child.process.returncode
                 kind = ChildNotStarted if self.starting else ChildFailed
-                raise kind(f"{child.name} ended with {code}{child.last_words()}")
+                raise kind(f"{child.name} ended with {code}{child.last_log_line()}")
             raise ChildFailed(f"the play did not end within {within:.0f} s")
         finally:
             working.cancel()
@@ -185,7 +185,7 @@
 
     def memory_bytes(self) -> int:
         """Resident bytes of all processes that still run."""
-        return sum(child.usage().memory_bytes for child in self.all if child.process.returncode is None)
+        return sum(child.usage().memory_bytes for child in self.processes if child.process.returncode is None)
 
 
 def inherited_environment() -> dict[str, str]:
--- a/embersill/lab/scale/clients_process.py
+++ b/embersill/lab/scale/clients_process.py
@@ -18,9 +18,9 @@
 import uvloop
 
 from embersill.lab.peers import HOST, Peer, message, read_message
-from embersill.lab.scale.deployment import BUDGET_SECONDS, KEYED, Deployment, DrawnRequest, customer_name
+from embersill.lab.scale.deployment import BUDGET_SECONDS, KEYED, Deployment, GeneratedRequest, customer_name
 from embersill.lab.scale.hollow import RequestSource
-from embersill.lab.scale.lines import OrderStream, send_answer
+from embersill.lab.scale.lines import CommandStream, send_answer
 from embersill.lab.scale.messages import (
     BeginLoad, BeginMeasuring, ClientsReport, ClientsTask, Collect, Done, EndMeasuring, GatewayCounts,
     Listening, QuotaEvents, RealGatewayPorts,
@@ -28,18 +28,18 @@
 
 CHUNK_BYTES = 65536
 BODY = b"x" * 200  # of a keyed request
-WORK = re.compile(r"client=([0-9a-f]+)&work_us=(\d+)")
+WORK_QUERY = re.compile(r"client=([0-9a-f]+)&work_us=(\d+)")
 ADD_CALL = b"CNT.ADD"
 HEAD_END = b"\r\n\r\n"
 
 
 @dataclass(slots=True)
-class EventLog:
+class QuotaEventLog:
     """Requests sent on or refused, as peers see them."""
 
     events: QuotaEvents = field(default_factory=lambda: QuotaEvents([], [], []))
 
-    def note(self, customer: int, sent: bool) -> None:
+    def record(self, customer: int, sent: bool) -> None:
         self.events.times.append(time.monotonic())
         self.events.customers.append(customer)
         self.events.sent.append(sent)
@@ -48,7 +48,7 @@
 class Backends(Peer):
     """All backends of the fleet behind one address; each answer tells how long it took here."""
 
-    def __init__(self, log: EventLog) -> None:
+    def __init__(self, log: QuotaEventLog) -> None:
         super().__init__()
         self.log = log
 
@@ -56,11 +56,11 @@
         while True:
             first, _, _ = await read_message(reader)
             began = time.monotonic()
-            found = WORK.search(first)
+            found = WORK_QUERY.search(first)
             if found is None:
                 writer.write(message(400))
                 continue
-            self.log.note(int(found[1], 16), True)
+            self.log.record(int(found[1], 16), True)
             await asyncio.sleep(int(found[2]) / 1e6)
             writer.write(message(200, b"%.6f" % (time.monotonic() - began)))
 
@@ -109,12 +109,12 @@
         super().__init__()
         host, _, port = target.rpartition(":")
         self.host, self.port = host, int(port)
-        self.make_counter, self.figures = make_counter, figures
+        self.make_call_counter, self.figures = make_counter, figures
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         answers, calls = await asyncio.open_connection(self.host, self.port)
-        back = asyncio.create_task(self.pass_answers(answers, writer))
-        count = self.make_counter()
+        back = asyncio.create_task(self.relay_answers(answers, writer))
+        count = self.make_call_counter()
         try:
             while data := await reader.read(CHUNK_BYTES):
                 self.figures.bytes_out += len(data)
@@ -124,7 +124,7 @@
             back.cancel()
             calls.close()
 
-    async def pass_answers(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def relay_answers(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await answers.read(CHUNK_BYTES):
             self.figures.bytes_in += len(data)
             writer.write(data)
@@ -132,7 +132,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class AnswerCounts:
     """Final answers, as clients of one gateway got them."""
 
     requests: int = 0
@@ -145,19 +145,19 @@
     """Clients and relays of one real gateway."""
 
     def __init__(
-        self, task: ClientsTask, deployment: Deployment, ports: RealGatewayPorts, log: EventLog
+        self, task: ClientsTask, deployment: Deployment, ports: RealGatewayPorts, log: QuotaEventLog
     ) -> None:
         self.deployment, self.ports, self.log = deployment, ports, log
-        self.tally, self.added_ms = Tally(), list[float]()
+        self.answer_counts, self.added_ms = AnswerCounts(), list[float]()
         self.counter_figures, self.list_figures = RelayFigures(), RelayFigures()
         self.relays = [
             (Relay(address, RequestCounter, self.list_figures), port)
             for address, port in zip(task.directories, ports.discovery_relays, strict=True)]
         self.relays.append((Relay(task.counter, CallCounter, self.counter_figures), ports.counter_relay))
         seed = random.Random(f"{task.seed} real {ports.number}").getrandbits(32)
-        self.source = RequestSource(deployment, ports.number, seed, self.arrive)
-        self.numbers = itertools.count(ports.number << 40)
-        self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.source = RequestSource(deployment, ports.number, seed, self.on_arrival)
+        self.request_numbers = itertools.count(ports.number << 40)
+        self.idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.measuring = False
 
@@ -165,30 +165,30 @@
         for relay, port in self.relays:
             await relay.start(port)
 
-    def arrive(self, drawn: DrawnRequest) -> None:
-        self.tally.requests += 1
-        task = asyncio.create_task(self.ask(drawn))
+    def on_arrival(self, drawn: GeneratedRequest) -> None:
+        self.answer_counts.requests += 1
+        task = asyncio.create_task(self.send_request(drawn))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def ask(self, drawn: DrawnRequest) -> None:
+    async def send_request(self, drawn: GeneratedRequest) -> None:
         """One request, on a connection that no other uses meanwhile."""
         began = time.monotonic()
         try:
             async with asyncio.timeout(BUDGET_SECONDS):
-                status, body = await self.exchange(self.text(drawn))
+                status, body = await self.exchange(self.request_bytes(drawn))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            self.tally.failed += 1
+            self.answer_counts.failed += 1
             return
         if status == 200:
-            self.tally.served += 1
+            self.answer_counts.served += 1
             if self.measuring:
                 self.added_ms.append(1000.0 * (time.monotonic() - began - float(body)))
         elif status in (429, 503):
-            self.tally.refused += 1
-            self.log.note(drawn.customer, False)
+            self.answer_counts.refused += 1
+            self.log.record(drawn.customer, False)
         else:
-            self.tally.failed += 1
+            self.answer_counts.failed += 1
 
     async def exchange(self, text: bytes) -> tuple[int, bytes]:
         reader, writer = await self.connection()
@@ -201,32 +201,32 @@
         if headers.get("connection") == "close":
             writer.close()
         else:
-            self.idle.append((reader, writer))
+            self.idle_connections.append((reader, writer))
         return int(first.split()[1]), body
 
     async def connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        while self.idle:
-            reader, writer = self.idle.pop()
+        while self.idle_connections:
+            reader, writer = self.idle_connections.pop()
             if not (reader.at_eof() or writer.is_closing()):
                 return reader, writer
         return await asyncio.open_connection(HOST, self.ports.gateway)
 
-    def text(self, drawn: DrawnRequest) -> bytes:
-        name = f"{next(self.numbers):016x}"
-        keyed = drawn.klass == KEYED
+    def request_bytes(self, drawn: GeneratedRequest) -> bytes:
+        name = f"{next(self.request_numbers):016x}"
+        keyed = drawn.request_class == KEYED
         body = BODY if keyed else b""
         query = f"client={customer_name(drawn.customer)}&work_us={round(1e6 * drawn.service_seconds)}"
         first = int(self.deployment.first_gateways[drawn.customer])
         lines = [
             f"{'POST' if keyed else 'GET'} /api?{query} HTTP/1.1", "Host: backend.local",
-            f"X-Call-Id: {name}", f"X-Call-Class: {drawn.klass}",
+            f"X-Call-Id: {name}", f"X-Call-Class: {drawn.request_class}",
             f"Plan: {self.deployment.plan_of(drawn.customer).name}", f"X-Budget: {BUDGET_SECONDS:.3f}",
             f"Quota-Info: units=1,spread={self.deployment.size.spread},first={first}",
             *([f"Idempotency-Key: {name * 2}", f"Content-Length: {len(body)}"] if keyed else []), "", ""]
         return "\r\n".join(lines).encode() + body
 
     def counts(self) -> GatewayCounts:
-        tally, counter, listed = self.tally, self.counter_figures, self.list_figures
+        tally, counter, listed = self.answer_counts, self.counter_figures, self.list_figures
         return GatewayCounts(
             tally.requests, tally.served, tally.refused, tally.failed, counter.calls, counter.bytes_out,
             counter.bytes_in, listed.calls, listed.bytes_out, listed.bytes_in)
@@ -237,35 +237,35 @@
 
     def __init__(self, task: ClientsTask) -> None:
         deployment = Deployment(task.size, task.seed)
-        self.port, self.log = task.backend_port, EventLog()
+        self.port, self.log = task.backend_port, QuotaEventLog()
         self.backends = Backends(self.log)
         self.clients = [RealGatewayClients(task, deployment, ports, self.log) for ports in task.gateways]
-        self.began = self.ended = [made.counts() for made in self.clients]
+        self.counts_at_start = self.counts_at_end = [made.counts() for made in self.clients]
 
     async def start(self) -> None:
         await self.backends.start(self.port)
         for made in self.clients:
             await made.start()
 
-    def measure(self, on: bool) -> list[GatewayCounts]:
+    def set_measuring(self, on: bool) -> list[GatewayCounts]:
         for made in self.clients:
             made.measuring = on
         return [made.counts() for made in self.clients]
 
     def report(self) -> ClientsReport:
-        counts = [after.since(before) for before, after in zip(self.began, self.ended, strict=True)]
+        counts = [after.since(before) for before, after in zip(self.counts_at_start, self.counts_at_end, strict=True)]
         return ClientsReport(counts, [ms for made in self.clients for ms in made.added_ms], self.log.events)
 
-    async def obey(self, orders: OrderStream) -> None:
+    async def handle_commands(self, orders: CommandStream) -> None:
         while (order := await orders.read()) is not None:
             match order:
                 case BeginLoad():
                     for made in self.clients:
                         made.source.start()
                 case BeginMeasuring():
-                    self.began = self.measure(True)
+                    self.counts_at_start = self.set_measuring(True)
                 case EndMeasuring():
-                    self.ended = self.measure(False)
+                    self.counts_at_end = self.set_measuring(False)
                 case Collect():
                     send_answer(self.report())
                     continue
@@ -273,14 +273,14 @@
 
 
 async def serve() -> None:
-    orders = await OrderStream.open()
+    orders = await CommandStream.open()
     task = await orders.read()
     if not isinstance(task, ClientsTask):
         return
     process = ClientsProcess(task)
     await process.start()
     send_answer(Listening())
-    await process.obey(orders)
+    await process.handle_commands(orders)
 
 
 def main() -> None:
--- a/embersill/lab/scale/clock.py
+++ b/embersill/lab/scale/clock.py
@@ -8,12 +8,12 @@
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-OFFSET = time.time() - time.monotonic()  # seconds between the system's monotonic clock and Unix time
+UNIX_TIME_OFFSET = time.time() - time.monotonic()  # seconds between the system's monotonic clock and Unix time
 
 
 def unix_time() -> float:
     """Unix time that never jumps, as gateways have it."""
-    return OFFSET + time.monotonic()
+    return UNIX_TIME_OFFSET + time.monotonic()
 
 
 @dataclass(frozen=True, slots=True)
--- a/embersill/lab/scale/command.py
+++ b/embersill/lab/scale/command.py
@@ -19,18 +19,18 @@
 
 from tqdm import tqdm
 
-from embersill.lab.scale.aggregators import NoAggregators, check_aggregators
+from embersill.lab.scale.aggregators import AggregatorsUnavailable, check_aggregators
 from embersill.lab.scale.axes import (
     AXES, PLAYS, SECONDS, SMALL_AXES, SMALL_PLAYS, SMALL_SECONDS, SMALL_WARM_UP_SECONDS,
     WARM_UP_SECONDS, Axis, RunSettings, plan_plays,
 )
 from embersill.lab.scale.arguments import RECORD
 from embersill.lab.scale.bounds import BrokenBound, broken_bounds
-from embersill.lab.scale.children import MOST_CHILDREN, ChildFailed, ChildNotStarted
+from embersill.lab.scale.children import MAX_CHILDREN, ChildFailed, ChildNotStarted
 from embersill.lab.scale.clock import machine_memory
 from embersill.lab.scale.list_service import ListServiceFailed
 from embersill.lab.scale.plan import PlayPlan
-from embersill.lab.scale.play import MEMORY_PART, run_play
+from embersill.lab.scale.play import MAX_MEMORY_SHARE, run_play
 from embersill.lab.scale.records import FORMAT_VERSION, BadRecord, Play, Record, read_record, write_record
 from embersill.settings import AGGREGATION_RANGES
 
@@ -77,7 +77,7 @@
     in_range("real", told.real, 0, MOST_REAL)
     in_range("counter-parts", told.counter_parts, 1, MOST_PARTS)
     in_range("counter-calls", told.counter_calls, 0, 1e6)
-    in_range("aggregators", told.aggregators, 0, MOST_CHILDREN)
+    in_range("aggregators", told.aggregators, 0, MAX_CHILDREN)
     check_aggregators(told.aggregators)
     in_range("gateway-calls", told.gateway_calls, *AGGREGATION_RANGES["calls_per_second"])
     in_range("gateway-burst", told.gateway_burst, *AGGREGATION_RANGES["burst"])
@@ -96,14 +96,14 @@
     descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     for plan in plans:
         where = f"{plan.axis}={plan.value:g}"
-        if needed_processes(plan) > MOST_CHILDREN:
+        if needed_processes(plan) > MAX_CHILDREN:
             raise BadScaleUse(
-                f"{where} needs {needed_processes(plan)} processes, and {MOST_CHILDREN} are the most")
+                f"{where} needs {needed_processes(plan)} processes, and {MAX_CHILDREN} are the most")
         needed = needed_descriptors(plan)
         if needed > descriptors:
             raise BadScaleUse(
                 f"{where} needs {needed} descriptors in a process, and the limit is {descriptors}")
-        memory, most = needed_memory(plan), MEMORY_PART * machine_memory()
+        memory, most = needed_memory(plan), MAX_MEMORY_SHARE * machine_memory()
         if memory > most:
             raise BadScaleUse(
                 f"{where} needs some {memory / 2**30:.1f} GB, and {most / 2**30:.1f} may be used")
@@ -243,7 +243,7 @@
         print(f"{len(left)} plays, about {time_needed.likely / 60:.1f} minutes; "
               f"ends after {time_needed.limit / 60:.1f} minutes at the latest", flush=True)
         asyncio.run(interruptible(left, keeper, time_needed.limit))
-    except (BadScaleUse, BadRecord, NoAggregators, ChildNotStarted) as error:
+    except (BadScaleUse, BadRecord, AggregatorsUnavailable, ChildNotStarted) as error:
         print(f"embersill.lab: {error}", file=sys.stderr)
         return BAD_USE
     except (ChildFailed, ListServiceFailed) as error:
--- a/embersill/lab/scale/counter_process.py
+++ b/embersill/lab/scale/counter_process.py
@@ -17,12 +17,14 @@
 import uvloop
 
 from embersill.lab.peers import HOST
-from embersill.lab.scale.lines import OrderStream, send_answer
+from embersill.lab.scale.lines import CommandStream, send_answer
 from embersill.lab.scale.messages import CounterFigures, Listening, ReadFigures
-from embersill.lab.scale.resp import BUSY, OK, PONG, AddCall, BadCall, CounterModel, bulk_total, read_add_call
+from embersill.lab.scale.resp import (
+    BUSY, OK, PONG, AddCall, CounterModel, InvalidCall, bulk_total, read_add_call,
+)
 
-BACKLOG = 4096  # connections not yet accepted
-IDLE_SECONDS = 10.0  # after which a connection without calls is closed
+ACCEPT_BACKLOG = 4096  # connections not yet accepted
+IDLE_TIMEOUT_SECONDS = 10.0  # after which a connection without calls is closed
 
 
 @dataclass(slots=True, eq=False)
@@ -41,24 +43,24 @@
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.replies: deque[Reply] = deque()
-        self.used_at = self.loop.time()
-        self.idle_timer = self.loop.call_later(IDLE_SECONDS, self.close_if_idle)
+        self.last_call_at = self.loop.time()
+        self.idle_timer = self.loop.call_later(IDLE_TIMEOUT_SECONDS, self.close_if_idle)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.used_at = self.loop.time()
+        self.last_call_at = self.loop.time()
         self.reader.feed(data)
         try:
             while (words := self.reader.gets()) is not False:
-                self.take(words)
+                self.handle_command(words)
         except hiredis.ProtocolError:
-            self.end(b"-ERR Protocol error\r\n")
+            self.close_with_error(b"-ERR Protocol error\r\n")
             return
         self.write_ready()
 
-    def take(self, words: object) -> None:
+    def handle_command(self, words: object) -> None:
         reply = Reply()
         self.replies.append(reply)
         if not (isinstance(words, list) and words and all(isinstance(w, bytes) for w in words)):
@@ -70,12 +72,12 @@
         elif name in (b"CLIENT", b"SELECT"):
             reply.text = OK
         else:
-            self.add(words, reply)
+            self.handle_add(words, reply)
 
-    def add(self, words: list[bytes], reply: Reply) -> None:
+    def handle_add(self, words: list[bytes], reply: Reply) -> None:
         try:
             call = read_add_call(words)
-        except BadCall as error:
+        except InvalidCall as error:
             reply.text = b"-ERR %s\r\n" % str(error).encode()
             return
         at = self.model.reserve(call.name)
@@ -84,9 +86,9 @@
         elif self.model.calls_per_second <= 0:
             reply.text = bulk_total(self.model.add(call))
         else:
-            self.loop.call_at(at, self.serve, call, reply)
+            self.loop.call_at(at, self.complete_add, call, reply)
 
-    def serve(self, call: AddCall, reply: Reply) -> None:
+    def complete_add(self, call: AddCall, reply: Reply) -> None:
         """A call whose turn has come is carried out, whether its caller still waits or not."""
         reply.text = bulk_total(self.model.add(call))
         self.write_ready()
@@ -99,13 +101,13 @@
             self.transport.write(b"".join(ready))
 
     def close_if_idle(self) -> None:
-        left = self.used_at + IDLE_SECONDS - self.loop.time()
+        left = self.last_call_at + IDLE_TIMEOUT_SECONDS - self.loop.time()
         if left > 0:
             self.idle_timer = self.loop.call_later(left, self.close_if_idle)
         elif self.transport is not None:
             self.transport.close()
 
-    def end(self, text: bytes) -> None:
+    def close_with_error(self, text: bytes) -> None:
         if self.transport is not None:
             self.transport.write(text)
             self.transport.close()
@@ -117,18 +119,18 @@
 
 async def listen(model: CounterModel, port: int) -> asyncio.Server:
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: CounterConnection(model), HOST, port, backlog=BACKLOG)
+    return await loop.create_server(lambda: CounterConnection(model), HOST, port, backlog=ACCEPT_BACKLOG)
 
 
 async def serve(port: int, parts: int, calls_per_second: float) -> None:
-    orders = await OrderStream.open()
+    orders = await CommandStream.open()
     model = CounterModel(time.monotonic, parts, calls_per_second)
     server = await listen(model, port)
     send_answer(Listening())
     while (order := await orders.read()) is not None:
         if isinstance(order, ReadFigures):
-            model.forget_ended()
-            send_answer(CounterFigures(model.calls, model.turned_away, len(model.names)))
+            model.remove_expired()
+            send_answer(CounterFigures(model.calls, model.rejected_calls, len(model.names)))
     server.close()
 
 
--- a/embersill/lab/scale/deployment.py
+++ b/embersill/lab/scale/deployment.py
@@ -19,12 +19,12 @@
 from embersill.settings import read_settings
 
 ZIPF_EXPONENT = 0.8
-LOWEST_RATE = 1.4  # units a second of the smallest plan; each next plan has twice that
-LOWEST_BURST = 6.0  # units
+MIN_PLAN_RATE = 1.4  # units a second of the smallest plan; each next plan has twice that
+MIN_PLAN_BURST = 6.0  # units
 BURST_SECONDS = 2.0  # of a plan's rate that its burst holds, from LOWEST_BURST on
-USUAL_USE = 0.4  # of its quota that a customer asks for, at the most
+MAX_NORMAL_USE = 0.4  # of its quota that a customer asks for, at the most
 HEAVY_SHARE = 0.1  # of the customers that ask for more than their quota, if their demand allows it
-HEAVY_USE = 1.5  # of its quota that such a customer asks for, at the least
+MIN_HEAVY_USE = 1.5  # of its quota that such a customer asks for, at the least
 MEAN_SERVICE_SECONDS = 0.02
 KEYED_SHARE = 0.25  # of the requests that are of the class KEYED
 READ, KEYED = "read", "write"
@@ -32,9 +32,9 @@
 AIM_SECONDS = 2.0
 # with a counter of limited capacity, the platform's; without a limit so long that a process which many hollow
 # gateways share does not make the counter look crowded by being late itself
-COUNTER_PATIENCE_SECONDS, UNLIMITED_PATIENCE_SECONDS = 0.03, 0.25
+COUNTER_TIMEOUT_SECONDS, UNLIMITED_COUNTER_TIMEOUT_SECONDS = 0.03, 0.25
 DIAL_TIMEOUT_SECONDS = 1.0
-MOST_UNITS = 1.0
+MAX_UNITS = 1.0
 ZONE = "a"
 
 
@@ -48,11 +48,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrawnRequest:
+class GeneratedRequest:
     """One request as a client would send it."""
 
     customer: int
-    klass: str
+    request_class: str
     service_seconds: float
 
 
@@ -64,10 +64,10 @@
     cumulative_weights: list[float]
     requests_per_second: float
 
-    def draw(self, dice: random.Random) -> DrawnRequest:
+    def generate(self, dice: random.Random) -> GeneratedRequest:
         customer = dice.choices(self.customers, cum_weights=self.cumulative_weights)[0]
         klass = KEYED if dice.random() < KEYED_SHARE else READ
-        return DrawnRequest(customer, klass, dice.expovariate(1.0 / MEAN_SERVICE_SECONDS))
+        return GeneratedRequest(customer, klass, dice.expovariate(1.0 / MEAN_SERVICE_SECONDS))
 
 
 class Deployment:
@@ -97,9 +97,9 @@
         return found
 
     @property
-    def counter_patience_seconds(self) -> float:
+    def counter_timeout_seconds(self) -> float:
         limited = self.size.counter_calls_per_second > 0
-        return COUNTER_PATIENCE_SECONDS if limited else UNLIMITED_PATIENCE_SECONDS
+        return COUNTER_TIMEOUT_SECONDS if limited else UNLIMITED_COUNTER_TIMEOUT_SECONDS
 
     def plan_of(self, customer: int) -> QuotaPlan:
         return self.plans[self.tiers[customer]]
@@ -113,7 +113,7 @@
             self.size.requests_per_second if len(customers) else 0.0)
 
     def settings(self, gateway: int) -> Settings:
-        return replace(read_settings(self.told_settings(gateway)), aggregation=self.aggregation())
+        return replace(read_settings(self.raw_settings(gateway)), aggregation=self.aggregation())
 
     def aggregation(self, directory: str = "") -> AggregationSettings | None:
         """The part `aggregation` of a gateway's configuration; None where they call the counter itself."""
@@ -122,14 +122,14 @@
         return AggregationSettings(
             directory, self.size.gateway_calls_per_second, self.size.gateway_calls_burst)
 
-    def told_settings(self, gateway: int) -> dict[str, Any]:
+    def raw_settings(self, gateway: int) -> dict[str, Any]:
         """A gateway's settings in the platform's form; its times are milliseconds."""
         return {
             "me": gateway, "balancers": self.size.gateways, "zone": ZONE, "membership_mode": "on_request",
-            "services": [service(READ, "repeatable"), service(KEYED, "by_key")],
-            "packages": [package(plan) for plan in self.plans],
-            "domain": {"counter": True, "count_limit": 1000.0 * self.counter_patience_seconds,
-                       "count_fee": 0.01, "max_units": MOST_UNITS, "post_paid": False},
+            "services": [service_entry(READ, "repeatable"), service_entry(KEYED, "by_key")],
+            "packages": [package_entry(plan) for plan in self.plans],
+            "domain": {"counter": True, "count_limit": 1000.0 * self.counter_timeout_seconds,
+                       "count_fee": 0.01, "max_units": MAX_UNITS, "post_paid": False},
             "limits": {"cancel": True, "may_probe": False, "second_copies": False, "max_attempts": 4,
                        "max_retry_after": 500.0, "dial_timeout": 1000.0 * DIAL_TIMEOUT_SECONDS,
                        "keepalive": 15_000.0},
@@ -142,24 +142,24 @@
 def quota_tier(demand: float, heavy: bool) -> int:
     """Number of the plan for a customer with this demand, in requests a second."""
     if heavy:
-        needed = demand / HEAVY_USE / LOWEST_RATE
+        needed = demand / MIN_HEAVY_USE / MIN_PLAN_RATE
         return max(0, int(np.floor(np.log2(needed)))) if needed > 0 else 0
-    needed = demand / USUAL_USE / LOWEST_RATE
+    needed = demand / MAX_NORMAL_USE / MIN_PLAN_RATE
     return max(0, int(np.ceil(np.log2(needed)))) if needed > 0 else 0
 
 
 def make_plan(tier: int) -> QuotaPlan:
-    rate = LOWEST_RATE * 2.0**tier
-    return QuotaPlan(f"tier-{tier}", rate, max(LOWEST_BURST, BURST_SECONDS * rate))
+    rate = MIN_PLAN_RATE * 2.0**tier
+    return QuotaPlan(f"tier-{tier}", rate, max(MIN_PLAN_BURST, BURST_SECONDS * rate))
 
 
-def service(name: str, semantics: str) -> dict[str, Any]:
+def service_entry(name: str, semantics: str) -> dict[str, Any]:
     return {"name": name, "semantics": semantics, "dedup_scope": "all", "memory_span": 10_000.0,
             "aim": 1000.0 * AIM_SECONDS, "deadline": 1000.0 * BUDGET_SECONDS, "late_share": 0.0,
             "credit": 1.0, "stream": False}
 
 
-def package(plan: QuotaPlan) -> dict[str, Any]:
+def package_entry(plan: QuotaPlan) -> dict[str, Any]:
     return {"name": plan.name, "units_per_s": plan.rate, "peak_units": plan.burst, "concurrency": 0,
             "hard_rate": 0.0, "cap_depth": 0.0, "value_factor": 1.0, "extra_worth": 0.0,
             "overrun_cost": 0.5}
--- a/embersill/lab/scale/hollow.py
+++ b/embersill/lab/scale/hollow.py
@@ -20,7 +20,7 @@
 )
 from embersill.lab.scale.clock import unix_time
 from embersill.lab.scale.deployment import (
-    BUDGET_SECONDS, DIAL_TIMEOUT_SECONDS, Deployment, DrawnRequest, customer_name,
+    BUDGET_SECONDS, DIAL_TIMEOUT_SECONDS, Deployment, GeneratedRequest, customer_name,
 )
 from embersill.lab.scale.messages import GatewayCounts, QuotaEvents
 from embersill.lab.scale.metered_router import MeteredRouter
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class AnswerTally:
+class AnswerTotals:
     """Answers of the list service of one kind."""
 
     number: int = 0
@@ -51,7 +51,7 @@
     seconds: float = 0.0
 
 
-class ParseTimer(ListReader):
+class TimedListReader(ListReader):
     """Stands in for the list client's reader and measures it; long lists are not read in slices here.
 
     Between the parsing of an answer and the call of `told` the client does not wait, so that the last answer
@@ -60,13 +60,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.last = ParsedAnswer()
+        self.last_answer = ParsedAnswer()
 
     async def read(self, body: bytes) -> Listing:
         """Parses an answer at one go."""
         began = time.thread_time()
         listing = parse_listing(body)
-        self.last = ParsedAnswer(len(body), time.thread_time() - began)
+        self.last_answer = ParsedAnswer(len(body), time.thread_time() - began)
         return listing
 
 
@@ -74,14 +74,14 @@
 class ProcessFigures:
     """What all gateways of one process add to."""
 
-    parse_timer: ParseTimer
+    list_reader: TimedListReader
     module_seconds: float = 0.0
     starts: int = 0
-    whole_lists: AnswerTally = field(default_factory=AnswerTally)
-    changes: AnswerTally = field(default_factory=AnswerTally)
+    full_lists: AnswerTotals = field(default_factory=AnswerTotals)
+    changes: AnswerTotals = field(default_factory=AnswerTotals)
     events: QuotaEvents = field(default_factory=lambda: QuotaEvents([], [], []))
 
-    def note_quota_event(self, customer: int, sent: bool) -> None:
+    def record_quota_event(self, customer: int, sent: bool) -> None:
         self.events.times.append(time.monotonic())
         self.events.customers.append(customer)
         self.events.sent.append(sent)
@@ -99,7 +99,7 @@
     list_calls: int = 0
     counter_meter: ByteMeter = field(default_factory=ByteMeter)
     list_meter: ByteMeter = field(default_factory=ByteMeter)
-    told: list[tuple[int, float]] = field(default_factory=list)  # generation, and when it was told
+    lists_received: list[tuple[int, float]] = field(default_factory=list)  # generation, and when it was told
 
     def counts(self) -> GatewayCounts:
         return GatewayCounts(
@@ -111,14 +111,14 @@
 class CountingDiscovery(Discovery):
     """The list client, with its calls counted; it tells each list at one go, as one measure."""
 
-    asked: Callable[[], None]
+    on_list_call: Callable[[], None]
 
     async def deliver(self, listing: Listing) -> None:
         """Tells the gateway."""
         self.feed.on_list(listing)
 
     async def call(self) -> Listing:
-        self.asked()
+        self.on_list_call()
         return await super().call()
 
 
@@ -130,7 +130,7 @@
     service_seconds: float
     sent: bool = False
     attempts: int = 0
-    ending: asyncio.TimerHandle | None = None  # of the attempt that is out
+    end_timer: asyncio.TimerHandle | None = None  # of the attempt that is out
     backend: str = ""
     sent_at: float = 0.0
 
@@ -149,99 +149,99 @@
         self.seed, self.counter_address, self.aggregator_lists = seed, counter, aggregator_lists
         self.counter: CounterClient | None = None  # until its start
         self.discovery = CountingDiscovery(
-            directories, DIAL_TIMEOUT_SECONDS, self.list_told, None, seed, deployment.size.gateways)
+            directories, DIAL_TIMEOUT_SECONDS, self.on_list, None, seed, deployment.size.gateways)
         self.discovery.loop = metered_loop(figures.list_meter)
-        self.discovery.asked, self.discovery.reader = self.list_asked, process.parse_timer
-        self.following: asyncio.Task[None] | None = None
-        self.open: dict[int, OpenRequest] = {}
-        self.taken = 0
-        self.events: deque[tuple[Event, float]] = deque()
+        self.discovery.on_list_call, self.discovery.reader = self.on_list_call, process.list_reader
+        self.discovery_task: asyncio.Task[None] | None = None
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.request_count = 0
+        self.pending_events: deque[tuple[Event, float]] = deque()
         self.handling = self.closed = False
-        self.list_calls_until_told = self.bytes_until_told = 0
-        self.bytes_before = figures.list_meter.bytes_in
-        self.told_at = 0.0  # when it had its first list
+        self.list_calls_until_first_list = self.bytes_until_first_list = 0
+        self.initial_list_bytes = figures.list_meter.bytes_in
+        self.first_list_at = 0.0  # when it had its first list
 
     def start(self) -> None:
         self.process.starts += 1
         self.counter = self.make_counter()
-        self.following = self.loop.create_task(self.discovery.run())
+        self.discovery_task = self.loop.create_task(self.discovery.run())
 
     def make_counter(self) -> CounterClient:
         """What makes the counter calls, as in a real gateway."""
-        patience = self.deployment.counter_patience_seconds
+        patience = self.deployment.counter_timeout_seconds
         if self.aggregator_lists:
             return MeteredRouter(
-                unix_time, self.aggregator_lists, patience, DIAL_TIMEOUT_SECONDS, self.counter_told,
+                unix_time, self.aggregator_lists, patience, DIAL_TIMEOUT_SECONDS, self.on_counter_result,
                 AGGREGATOR_CONNECTIONS, self.seed, self.deployment.size.gateways,
                 meter=self.figures.counter_meter)
         counter = Counter(
-            unix_time, self.counter_address, patience, DIAL_TIMEOUT_SECONDS, self.counter_told)
+            unix_time, self.counter_address, patience, DIAL_TIMEOUT_SECONDS, self.on_counter_result)
         counter.loop = metered_loop(self.figures.counter_meter)
         return counter
 
     def is_ready(self) -> bool:
         """Whether it has its list, and the list of aggregators where there are any."""
         knows_aggregators = not isinstance(self.counter, MeteredRouter) or bool(self.counter.members)
-        return bool(self.told_at) and knows_aggregators
+        return bool(self.first_list_at) and knows_aggregators
 
     def close(self) -> None:
         """Ends at once, as a process that is killed does."""
         self.closed = True
-        if self.following is not None:
-            self.following.cancel()
+        if self.discovery_task is not None:
+            self.discovery_task.cancel()
         self.discovery.disconnect()
         if self.counter is not None:
             self.counter.close()
 
     # events
 
-    def take(self, drawn: DrawnRequest) -> None:
+    def on_request(self, drawn: GeneratedRequest) -> None:
         """A client's request arrives."""
-        self.taken += 1
+        self.request_count += 1
         self.figures.requests += 1
-        self.open[self.taken] = OpenRequest(drawn.customer, drawn.service_seconds)
+        self.open_requests[self.request_count] = OpenRequest(drawn.customer, drawn.service_seconds)
         plan = self.deployment.plan_of(drawn.customer)
         self.post(Request(
-            self.taken, drawn.klass, plan.name, customer_name(drawn.customer),
+            self.request_count, drawn.request_class, plan.name, customer_name(drawn.customer),
             unix_time() + BUDGET_SECONDS - DEADLINE_MARGIN, 1.0, self.deployment.size.spread,
             int(self.deployment.first_gateways[drawn.customer]), False))
 
-    def list_asked(self) -> None:
+    def on_list_call(self) -> None:
         self.figures.list_calls += 1
-        if not self.told_at:
-            self.list_calls_until_told += 1
+        if not self.first_list_at:
+            self.list_calls_until_first_list += 1
 
-    def list_told(self, listing: Listing) -> None:
+    def on_list(self, listing: Listing) -> None:
         if self.closed:
             return
-        if not self.told_at:
-            self.told_at = time.monotonic()
-            self.bytes_until_told = self.figures.list_meter.bytes_in - self.bytes_before
+        if not self.first_list_at:
+            self.first_list_at = time.monotonic()
+            self.bytes_until_first_list = self.figures.list_meter.bytes_in - self.initial_list_bytes
         began = time.thread_time()
         self.post(BackendList(listing.kind, tuple(entry.backend for entry in listing.entries)))
         seconds = time.thread_time() - began
         if listing.is_full or listing.entries:
-            tally = self.process.whole_lists if listing.is_full else self.process.changes
+            tally = self.process.full_lists if listing.is_full else self.process.changes
             tally.number += 1
-            tally.bytes += self.process.parse_timer.last.bytes
-            tally.seconds += seconds + self.process.parse_timer.last.seconds
-        self.figures.told.append((listing.generation, time.monotonic()))
+            tally.bytes += self.process.list_reader.last_answer.bytes
+            tally.seconds += seconds + self.process.list_reader.last_answer.seconds
+        self.figures.lists_received.append((listing.generation, time.monotonic()))
 
-    def counter_told(self, counted: CounterCallEnded) -> None:
+    def on_counter_result(self, counted: CounterCallEnded) -> None:
         self.post(counted)
 
-    def timer_due(self, key: str, due: float) -> None:
+    def on_timer(self, key: str, due: float) -> None:
         self.post(TimerExpired(key), due)  # the loop may be early by less than a millisecond
 
-    def service_ended(self, request: int, outcome: Outcome) -> None:
-        pending = self.open.get(request)
+    def on_service_ended(self, request: int, outcome: Outcome) -> None:
+        pending = self.open_requests.get(request)
         if pending is None:
             return
-        pending.ending = None
+        pending.end_timer = None
         answered = outcome is Outcome.SERVED  # the client has its answer before the module hears of it
         if answered:
             self.figures.served += 1
-            del self.open[request]
+            del self.open_requests[request]
         elapsed = unix_time() - pending.sent_at
         self.post(AttemptEnded(
             request, pending.attempts - 1, pending.backend, outcome, elapsed, answered, 0.0, ()))
@@ -252,13 +252,13 @@
         """Hands an event to the module; one that an action causes waits until all actions are done."""
         if self.closed:
             return
-        self.events.append((event, due))
+        self.pending_events.append((event, due))
         if self.handling:
             return
         self.handling = True
         try:
-            while self.events and not self.closed:
-                self.handle(*self.events.popleft())
+            while self.pending_events and not self.closed:
+                self.handle(*self.pending_events.popleft())
         finally:
             self.handling = False
 
@@ -268,16 +268,16 @@
         actions = self.gateway.handle(event, now)
         self.process.module_seconds += time.thread_time() - began
         for action in actions:
-            self.act(action)
+            self.perform(action)
 
-    def act(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         """Carries out an action; those that concern sockets to backends have no effect here."""
         match action:
             case Send():
                 self.send(action)
             case SetTimer():
                 due = unix_time() + action.delay
-                self.loop.call_later(action.delay, self.timer_due, action.key, due)
+                self.loop.call_later(action.delay, self.on_timer, action.key, due)
             case AddToCounter():
                 assert self.counter is not None
                 self.figures.counter_calls += 1
@@ -290,33 +290,33 @@
                 self.cancel(action.request)
 
     def send(self, action: Send) -> None:
-        pending = self.open.get(action.request)
+        pending = self.open_requests.get(action.request)
         if pending is None:
             return
         pending.attempts += 1
         pending.backend, pending.sent_at = action.backend, unix_time()
         if not pending.sent:
             pending.sent = True
-            self.process.note_quota_event(pending.customer, True)
+            self.process.record_quota_event(pending.customer, True)
         in_time = action.timeout <= 0 or pending.service_seconds <= action.timeout
         delay = pending.service_seconds if in_time else action.timeout
         outcome = Outcome.SERVED if in_time else Outcome.TIMED_OUT
-        pending.ending = self.loop.call_later(delay, self.service_ended, action.request, outcome)
+        pending.end_timer = self.loop.call_later(delay, self.on_service_ended, action.request, outcome)
 
     def cancel(self, request: int) -> None:
-        pending = self.open.get(request)
-        if pending is not None and pending.ending is not None:
-            pending.ending.cancel()
-            self.service_ended(request, Outcome.CANCELLED)
+        pending = self.open_requests.get(request)
+        if pending is not None and pending.end_timer is not None:
+            pending.end_timer.cancel()
+            self.on_service_ended(request, Outcome.CANCELLED)
 
     def refuse(self, request: int) -> None:
-        pending = self.open.pop(request, None)
+        pending = self.open_requests.pop(request, None)
         if pending is not None:
             self.figures.refused += 1
-            self.process.note_quota_event(pending.customer, False)
+            self.process.record_quota_event(pending.customer, False)
 
     def fail(self, request: int) -> None:
-        if self.open.pop(request, None) is not None:
+        if self.open_requests.pop(request, None) is not None:
             self.figures.failed += 1
 
 
@@ -325,27 +325,27 @@
     """Poisson arrivals at one gateway, on the loop's clock; late ones are made up for at once."""
 
     def __init__(
-        self, deployment: Deployment, number: int, seed: int, arrive: Callable[[DrawnRequest], None]
+        self, deployment: Deployment, number: int, seed: int, arrive: Callable[[GeneratedRequest], None]
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.load = deployment.load_of(number)
-        self.dice = random.Random(seed)
-        self.arrive = arrive
-        self.due = 0.0
+        self.rng = random.Random(seed)
+        self.on_arrival = arrive
+        self.next_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self.due = self.loop.time()
+        self.next_at = self.loop.time()
         if self.load.requests_per_second > 0:
-            self.set_next()
+            self.schedule_next()
 
-    def set_next(self) -> None:
-        self.due += self.dice.expovariate(self.load.requests_per_second)
-        self.timer = self.loop.call_at(self.due, self.happen)
+    def schedule_next(self) -> None:
+        self.next_at += self.rng.expovariate(self.load.requests_per_second)
+        self.timer = self.loop.call_at(self.next_at, self.on_due)
 
-    def happen(self) -> None:
-        self.set_next()
-        self.arrive(self.load.draw(self.dice))
+    def on_due(self) -> None:
+        self.schedule_next()
+        self.on_arrival(self.load.generate(self.rng))
 
     def stop(self) -> None:
         if self.timer is not None:
--- a/embersill/lab/scale/lines.py
+++ b/embersill/lab/scale/lines.py
@@ -5,27 +5,27 @@
 import asyncio
 import sys
 
-from embersill.lab.scale.messages import Answer, Order, decode_order, encode_line
+from embersill.lab.scale.messages import Answer, Command, decode_command, encode_line
 
-MOST_LINE = 2**28  # bytes of a message: a long play's quota events are some MB
+MAX_LINE_BYTES = 2**28  # bytes of a message: a long play's quota events are some MB
 
 
-class OrderStream:
+class CommandStream:
     """Orders in their sequence; None once the command has gone, and its children are to end."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
         self.reader = reader
 
     @staticmethod
-    async def open() -> OrderStream:
+    async def open() -> CommandStream:
         loop = asyncio.get_running_loop()
-        reader = asyncio.StreamReader(limit=MOST_LINE)
+        reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-        return OrderStream(reader)
+        return CommandStream(reader)
 
-    async def read(self) -> Order | None:
+    async def read(self) -> Command | None:
         line = await self.reader.readline()
-        return decode_order(line) if line.endswith(b"\n") else None
+        return decode_command(line) if line.endswith(b"\n") else None
 
 
 def send_answer(answer: Answer) -> None:
--- a/embersill/lab/scale/list_service.py
+++ b/embersill/lab/scale/list_service.py
@@ -17,11 +17,11 @@
 from embersill.lab.scale.deployment import ZONE, backend_name
 
 LEASE_MS = 600_000  # longer than a play: no backend renews
-MACHINE = "standard-3core"
+MACHINE_TYPE = "standard-3core"
 STARTED_MS = 1  # long ago: backends are warm
 FIRST_GENERATION = 1
 SPARE_WATCHES = 100
-STAFF = "scale"
+OPERATOR = "scale"
 
 
 class ListServiceFailed(Exception):
@@ -44,19 +44,19 @@
     figures: dict[str, int]
 
 
-def fill_folder(folder: pathlib.Path, backends: int, host_port: str) -> None:
+def write_list(folder: pathlib.Path, backends: int, host_port: str) -> None:
     """Writes a list of so many backends as the service itself keeps it."""
     log = Log(folder)
     records = []
     for number in range(backends):
-        entry = Entry(host_port, ZONE, MACHINE, 0, "SERVING", 1.0, STARTED_MS, f"p{number}", LEASE_MS)
+        entry = Entry(host_port, ZONE, MACHINE_TYPE, 0, "SERVING", 1.0, STARTED_MS, f"p{number}", LEASE_MS)
         records.append(Record(FIRST_GENERATION + number, backend_name(number), entry, None))
     log.append(records)
     log.store.apply(records)
     log.close()
 
 
-async def start_service(
+async def start_list_service(
     children: Children, folder: pathlib.Path, port: int, watches: int, leader: str = "",
     name: str = "directory",
 ) -> Child:
@@ -74,15 +74,15 @@
     def __init__(self, session: aiohttp.ClientSession, address: str, backends: int) -> None:
         self.session, self.address, self.backends = session, address, backends
         self.versions = [FIRST_GENERATION + number for number in range(backends)]
-        self.turn = 0
+        self.write_count = 0
         self.writes: list[Write] = []
 
     async def write_once(self) -> None:
         """Drains a backend, or gives back the one that was drained by the write before."""
-        number = self.turn // 2 % self.backends
-        drains = self.turn % 2 == 0
-        self.turn += 1
-        body = {"by": STAFF, "reason": "scale"} if drains else None
+        number = self.write_count // 2 % self.backends
+        drains = self.write_count % 2 == 0
+        self.write_count += 1
+        body = {"by": OPERATOR, "reason": "scale"} if drains else None
         url = f"http://{self.address}/v1/instances/{backend_name(number)}/drain"
         headers = {"If-Match": f'"{self.versions[number]}"'}
         method = "PUT" if drains else "DELETE"
--- a/embersill/lab/scale/messages.py
+++ b/embersill/lab/scale/messages.py
@@ -82,7 +82,7 @@
     """Asks a counter for its figures."""
 
 
-Order = (
+Command = (
     WorkerTask | ClientsTask | BeginLoad | BeginMeasuring | Restart | WatchFailover | EndMeasuring | Collect
     | ReadFigures)
 
@@ -199,10 +199,10 @@
 Answer = Listening | GatewaysReady | Done | WorkerReport | ClientsReport | CounterFigures
 
 encode_line = msgspec.json.Encoder().encode
-decode_order = msgspec.json.Decoder(Order).decode
+decode_command = msgspec.json.Decoder(Command).decode
 decode_answer = msgspec.json.Decoder(Answer).decode
 
 
-def total(counts: Sequence[GatewayCounts], name: str) -> int:
+def sum_figure(counts: Sequence[GatewayCounts], name: str) -> int:
     """Sum of one figure over gateways."""
     return sum(getattr(c, name) for c in counts)
--- a/embersill/lab/scale/metered_router.py
+++ b/embersill/lab/scale/metered_router.py
@@ -19,10 +19,10 @@
 
     aggregator: str
     members: list[Member]  # as they were when it was killed
-    left_at: float = 0.0  # when the list no longer had it
+    removed_at: float = 0.0  # when the list no longer had it
     answered_at: float = 0.0  # when a call for one of its customers was answered again
 
-    def had(self, customer: bytes) -> bool:
+    def served_customer(self, customer: bytes) -> bool:
         """Whether a customer's calls went to the aggregator that was killed."""
         chosen = max(self.members, key=lambda member: (member.weight(customer), member.name))
         return chosen.name == self.aggregator
@@ -48,21 +48,21 @@
     def watch_failover(self, aggregator: str) -> None:
         """Notes from now on when the customers of an aggregator that was killed are answered again."""
         self.failover = Failover(aggregator, list(self.members.values()))
-        self.note_members()
+        self.check_removed()
 
     def update_members(self, listing: Listing) -> None:
         super().update_members(listing)
-        self.note_members()
+        self.check_removed()
 
-    def note_members(self) -> None:
+    def check_removed(self) -> None:
         failover = self.failover
-        if failover is not None and not failover.left_at and failover.aggregator not in self.members:
-            failover.left_at = time.monotonic()
+        if failover is not None and not failover.removed_at and failover.aggregator not in self.members:
+            failover.removed_at = time.monotonic()
 
     def member_answered(self, counter: Counter, counted: CounterCallEnded) -> None:
         failover = self.failover
-        if failover is not None and failover.left_at and not failover.answered_at:
+        if failover is not None and failover.removed_at and not failover.answered_at:
             customer = counted.name.rpartition(".")[0].encode()
-            if counted.outcome is Outcome.SERVED and failover.had(customer):
+            if counted.outcome is Outcome.SERVED and failover.served_customer(customer):
                 failover.answered_at = time.monotonic()
         super().member_answered(counter, counted)
--- a/embersill/lab/scale/play.py
+++ b/embersill/lab/scale/play.py
@@ -19,33 +19,34 @@
 from embersill.lab.scale.children import Child, ChildFailed, Children, ChildNotStarted
 from embersill.lab.scale.clock import Usage, machine_memory
 from embersill.lab.scale.deployment import Deployment
-from embersill.lab.scale.list_service import ListWriter, ServiceFigures, Write, fill_folder, start_service
+from embersill.lab.scale.list_service import ListWriter, ServiceFigures, Write, write_list, start_list_service
 from embersill.lab.scale.messages import (
     BeginLoad, BeginMeasuring, ClientsReport, ClientsTask, Collect, CounterFigures, Done, EndMeasuring,
     GatewayCounts, GatewaysReady, ListAnswers, Listening, Message, ReadFigures, Restart, WatchFailover,
-    WorkerReport, WorkerTask, total,
+    WorkerReport, WorkerTask, sum_figure,
 )
 from embersill.lab.scale.plan import (
-    NEWS_SECONDS, PEER_START_SECONDS, RESTART_PATIENCE_SECONDS, STARTS_PER_SECOND, PlayPlan,
+    LIST_UPDATE_TIMEOUT_SECONDS, PEER_START_TIMEOUT_SECONDS, RESTART_TIMEOUT_SECONDS, STARTS_PER_SECOND,
+    PlayPlan,
 )
-from embersill.lab.scale.quota_account import settle
+from embersill.lab.scale.quota_account import replay_events
 from embersill.lab.scale.real_gateways import choose_ports, start_gateway, wait_ready
 from embersill.lab.scale.records import Play
 
-ANSWER_SECONDS = 10.0
-LEAST_NEWS_SECONDS = 0.2  # until the service has begun to tell them
+ANSWER_TIMEOUT_SECONDS = 10.0
+MIN_LIST_UPDATE_WAIT_SECONDS = 0.2  # until the service has begun to tell them
 WATCHERS_POLL_SECONDS = 0.1
-COPY_POLL_SECONDS = 0.05
-LEAST_CUSTOMERS = 100  # at a gateway, from which their memory stands out from the rest of its growth
-RESTART_AT = 0.25  # of the measured time, at which gateways restart
-KILL_AT = 0.1  # of the measured time, at which aggregators are killed
-MEMORY_PART = 0.5  # of the machine's, that a play may use
+REPLICATION_POLL_SECONDS = 0.05
+MIN_CUSTOMERS_PER_GATEWAY = 100  # at a gateway, from which their memory stands out from the rest of its growth
+RESTART_AT_SHARE = 0.25  # of the measured time, at which gateways restart
+KILL_AT_SHARE = 0.1  # of the measured time, at which aggregators are killed
+MAX_MEMORY_SHARE = 0.5  # of the machine's, that a play may use
 MEMORY_POLL_SECONDS = 0.5
 MICROSECONDS = 1e6
-HIGHEST_ADDED_US = 60_000_000
+MAX_ADDED_US = 60_000_000
 
 
-class TooMuchMemory(ChildFailed):
+class MemoryLimitExceeded(ChildFailed):
     """The play's processes use more than their part of the machine's memory."""
 
 
@@ -76,7 +77,7 @@
         """Those that were not killed."""
         return [aggregator for aggregator in self.aggregators if not aggregator.child.killed]
 
-    def speaking(self) -> list[Child]:
+    def commanded(self) -> list[Child]:
         """Those that take orders during the play."""
         return [*self.workers, *([self.clients] if self.clients else [])]
 
@@ -111,7 +112,7 @@
     ) -> None:
         self.plan, self.size, self.folder, self.children = plan, plan.size, folder, children
         self.deployment = Deployment(plan.size, plan.seed)
-        self.dice = random.Random(f"{plan.seed} play")
+        self.rng = random.Random(f"{plan.seed} play")
         self.roles = Roles()
         # far apart, so that real ones share as few customers as may be
         real = [n * plan.size.gateways // plan.real_gateways for n in range(plan.real_gateways)]
@@ -123,55 +124,55 @@
         self.backend_port = free_port()
         self.ports = [choose_ports(number, 2) for number in real]
         self.writer = ListWriter(session, self.leader_address, plan.size.backends)
-        self.ready: list[GatewaysReady] = []
+        self.ready_reports: list[GatewaysReady] = []
         self.restarted_at = self.killed_at = 0.0
 
     async def run(self) -> PlayResult:
         await self.start_peers()
-        await self.start_fleet()
+        await self.start_gateways()
         self.children.starting = False
-        await self.order_all(BeginLoad())
+        await self.send_to_all(BeginLoad())
         await asyncio.sleep(self.plan.warm_up_seconds)
         before = await self.snapshot()
-        await self.order_all(BeginMeasuring())
+        await self.send_to_all(BeginMeasuring())
         began = time.monotonic()
-        await self.measured_time()
+        await self.run_measured_time()
         after = await self.snapshot()
-        await self.order_all(EndMeasuring())
-        await self.wait_for_news()
+        await self.send_to_all(EndMeasuring())
+        await self.wait_for_watchers()
         return await self.collect(before, after, began)
 
     # start
 
     async def start_peers(self) -> None:
         size = self.size
-        fill_folder(self.folder / "list", size.backends, f"{HOST}:{self.backend_port}")
+        write_list(self.folder / "list", size.backends, f"{HOST}:{self.backend_port}")
         roles, children = self.roles, self.children
-        await self.start_hosts()
+        await self.start_gateway_hosts()
         roles.counter = await children.start_module(
             "counter", "embersill.lab.scale.counter_process", self.counter_address.rpartition(":")[2],
             str(size.counter_parts), str(size.counter_calls_per_second))
         ports = [int(a.rpartition(":")[2]) for a in (self.leader_address, self.follower_address)]
-        roles.leader = await start_service(children, self.folder / "list", ports[0], size.gateways)
-        await roles.leader.logged("listening on", PEER_START_SECONDS)
-        roles.follower = await start_service(
+        roles.leader = await start_list_service(children, self.folder / "list", ports[0], size.gateways)
+        await roles.leader.wait_for_log("listening on", PEER_START_TIMEOUT_SECONDS)
+        roles.follower = await start_list_service(
             children, self.folder / "copy", ports[1], size.gateways, self.leader_address)
-        await self.receive_started(roles.counter)
-        await roles.follower.logged("listening on", PEER_START_SECONDS)
-        await self.follower_copied()
+        await self.wait_listening(roles.counter)
+        await roles.follower.wait_for_log("listening on", PEER_START_TIMEOUT_SECONDS)
+        await self.wait_for_replication()
         if self.aggregator_list:
             await self.start_aggregator_peers()
 
     async def start_aggregator_peers(self) -> None:
         """The aggregators, and a list service of their own in which they register."""
         roles, port = self.roles, int(self.aggregator_list.rpartition(":")[2])
-        roles.aggregator_list = await start_service(
+        roles.aggregator_list = await start_list_service(
             self.children, self.folder / "aggregators", port, self.size.gateways, name="aggregator-list")
-        await roles.aggregator_list.logged("listening on", PEER_START_SECONDS)
+        await roles.aggregator_list.wait_for_log("listening on", PEER_START_TIMEOUT_SECONDS)
         roles.aggregators = await start_aggregators(
             self.children, self.deployment, self.counter_address, self.aggregator_list)
 
-    async def start_hosts(self) -> None:
+    async def start_gateway_hosts(self) -> None:
         """Processes that wait for their task: they load their modules while the peers start."""
         for place in range(min(self.plan.workers, len(self.hollow_gateways))):
             self.roles.workers.append(
@@ -180,19 +181,19 @@
             self.roles.clients = await self.children.start_module(
                 "clients", "embersill.lab.scale.clients_process")
 
-    async def receive_started(self, child: Child) -> None:
+    async def wait_listening(self, child: Child) -> None:
         try:
-            await child.receive(Listening, PEER_START_SECONDS)
+            await child.receive(Listening, PEER_START_TIMEOUT_SECONDS)
         except ChildFailed as error:
             raise ChildNotStarted(f"{child.name} did not start: {error}") from None
 
-    async def follower_copied(self) -> None:
+    async def wait_for_replication(self) -> None:
         """Waits until the follower has the leader's list."""
         generation = (await self.writer.status(self.leader_address)).generation
         while (await self.writer.status(self.follower_address)).generation < generation:
-            await asyncio.sleep(COPY_POLL_SECONDS)
+            await asyncio.sleep(REPLICATION_POLL_SECONDS)
 
-    async def start_fleet(self) -> None:
+    async def start_gateways(self) -> None:
         """Hollow gateways at a bounded pace, as each asks for the whole list; real ones meanwhile."""
         aggregator_lists = [self.aggregator_list] if self.aggregator_list else []
         workers = len(self.roles.workers)
@@ -203,10 +204,10 @@
                 self.counter_address, aggregator_lists, STARTS_PER_SECOND / workers))
         if self.roles.clients is not None:
             await self.start_real_gateways(self.roles.clients, self.counter_address)
-        within = PEER_START_SECONDS + 3 * self.size.gateways / STARTS_PER_SECOND
+        within = PEER_START_TIMEOUT_SECONDS + 3 * self.size.gateways / STARTS_PER_SECOND
         for worker in self.roles.workers:
             try:
-                self.ready.append(await worker.receive(GatewaysReady, within))
+                self.ready_reports.append(await worker.receive(GatewaysReady, within))
             except ChildFailed as error:
                 raise ChildNotStarted(f"{worker.name} did not get ready: {error}") from None
 
@@ -214,62 +215,62 @@
         directories = [self.leader_address, self.follower_address]
         clients.send(ClientsTask(
             self.size, self.plan.seed, self.backend_port, directories, counter, self.ports))
-        await self.receive_started(clients)
+        await self.wait_listening(clients)
         for ports in self.ports:
             self.roles.gateways.append(await start_gateway(
-                self.children, self.folder, self.deployment, ports, self.dice.getrandbits(62),
+                self.children, self.folder, self.deployment, ports, self.rng.getrandbits(62),
                 self.aggregator_list))
         for child, ports in zip(self.roles.gateways, self.ports, strict=True):
-            await wait_ready(child, ports, PEER_START_SECONDS)
+            await wait_ready(child, ports, PEER_START_TIMEOUT_SECONDS)
 
     # the measured time
 
-    async def order_all(self, order: Message) -> None:
+    async def send_to_all(self, order: Message) -> None:
         """Gives an order to all at once, and waits until each has carried it out."""
-        speaking = self.roles.speaking()
+        speaking = self.roles.commanded()
         for child in speaking:
             child.send(order)
         for child in speaking:
-            await child.receive(Done, ANSWER_SECONDS)
+            await child.receive(Done, ANSWER_TIMEOUT_SECONDS)
 
-    async def measured_time(self) -> None:
+    async def run_measured_time(self) -> None:
         plan = self.plan
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.writer.write_for(plan.seconds, self.size.changes_per_second))
             tasks.create_task(asyncio.sleep(plan.seconds))
             if self.size.restarted_share > 0:
-                tasks.create_task(self.restart())
+                tasks.create_task(self.restart_gateways())
             if self.size.aggregators_killed:
                 tasks.create_task(self.kill_aggregators())
 
     async def kill_aggregators(self) -> None:
         """Kills some at once; of the last it is measured when its customers' calls are answered again."""
-        await asyncio.sleep(KILL_AT * self.plan.seconds)
-        drawn = self.dice.sample(self.roles.aggregators, self.size.aggregators_killed)
+        await asyncio.sleep(KILL_AT_SHARE * self.plan.seconds)
+        drawn = self.rng.sample(self.roles.aggregators, self.size.aggregators_killed)
         self.killed_at = time.monotonic()
         for aggregator in drawn:
             await self.children.kill(aggregator.child)
         for worker in self.roles.workers:
             worker.send(WatchFailover(drawn[-1].name))
         for worker in self.roles.workers:
-            await worker.receive(Done, ANSWER_SECONDS)
+            await worker.receive(Done, ANSWER_TIMEOUT_SECONDS)
 
-    async def restart(self) -> None:
+    async def restart_gateways(self) -> None:
         """Restarts a part of the hollow gateways, drawn anew for each play."""
-        await asyncio.sleep(RESTART_AT * self.plan.seconds)
+        await asyncio.sleep(RESTART_AT_SHARE * self.plan.seconds)
         many = max(1, round(self.size.restarted_share * len(self.hollow_gateways)))
-        drawn = self.dice.sample(self.hollow_gateways, many)
+        drawn = self.rng.sample(self.hollow_gateways, many)
         self.restarted_at = time.monotonic()
         for worker in self.roles.workers:
             worker.send(Restart(drawn))
         for worker in self.roles.workers:
-            await worker.receive(Done, ANSWER_SECONDS)
+            await worker.receive(Done, ANSWER_TIMEOUT_SECONDS)
 
-    async def wait_for_news(self) -> None:
+    async def wait_for_watchers(self) -> None:
         """Until all gateways watch again, at the most for as long as a restart may take."""
-        patience = RESTART_PATIENCE_SECONDS if self.size.restarted_share > 0 else NEWS_SECONDS
+        patience = RESTART_TIMEOUT_SECONDS if self.size.restarted_share > 0 else LIST_UPDATE_TIMEOUT_SECONDS
         until = time.monotonic() + patience
-        await asyncio.sleep(LEAST_NEWS_SECONDS)
+        await asyncio.sleep(MIN_LIST_UPDATE_WAIT_SECONDS)
         while time.monotonic() < until:
             if (await self.writer.status(self.leader_address)).watchers >= self.size.gateways:
                 return
@@ -278,7 +279,7 @@
     async def snapshot(self) -> Snapshot:
         leader, follower, counter = self.roles.leader, self.roles.follower, self.roles.counter
         assert leader is not None and follower is not None and counter is not None
-        counted = await counter.ask(ReadFigures(), CounterFigures, ANSWER_SECONDS)
+        counted = await counter.ask(ReadFigures(), CounterFigures, ANSWER_TIMEOUT_SECONDS)
         return Snapshot(
             time.monotonic(), leader.usage(), follower.usage(), counter.usage(),
             await self.aggregator_snapshots(),
@@ -295,12 +296,12 @@
     async def collect(self, before: Snapshot, after: Snapshot, began: float) -> PlayResult:
         writes = [write for write in self.writer.writes if write.answered_at >= began]
         order = Collect([write.generation for write in writes])
-        reports = [await w.ask(order, WorkerReport, ANSWER_SECONDS) for w in self.roles.workers]
+        reports = [await w.ask(order, WorkerReport, ANSWER_TIMEOUT_SECONDS) for w in self.roles.workers]
         clients = None
         if self.roles.clients is not None:
-            clients = await self.roles.clients.ask(order, ClientsReport, ANSWER_SECONDS)
+            clients = await self.roles.clients.ask(order, ClientsReport, ANSWER_TIMEOUT_SECONDS)
         figures = PlayFigures(
-            self.plan, self.deployment, self.ready, reports, clients, before, after, began, writes,
+            self.plan, self.deployment, self.ready_reports, reports, clients, before, after, began, writes,
             self.restarted_at, self.killed_at)
         plan = self.plan
         play = Play(
@@ -318,12 +319,12 @@
 
     plan: PlayPlan
     deployment: Deployment
-    ready: list[GatewaysReady]
+    ready_reports: list[GatewaysReady]
     reports: list[WorkerReport]
     clients: ClientsReport | None
     before: Snapshot
     after: Snapshot
-    began: float
+    started_at: float
     writes: Sequence[Write]
     restarted_at: float
     killed_at: float
@@ -338,18 +339,18 @@
 
     def per_gateway(self, name: str) -> float:
         """Mean over hollow gateways, a second."""
-        return total(self.hollow, name) / self.hollow_seconds
+        return sum_figure(self.hollow, name) / self.hollow_seconds
 
     @property
     def hollow_seconds(self) -> float:
         """Measured time of all hollow gateways together."""
         return sum(report.seconds * len(report.counts) for report in self.reports)
 
-    def served_bytes(self, before: ServiceFigures, after: ServiceFigures) -> float:
+    def list_bytes_per_second(self, before: ServiceFigures, after: ServiceFigures) -> float:
         told = after.figures.get("bytes told", 0) - before.figures.get("bytes told", 0)
         return told / self.seconds
 
-    def answers(self, kind: str) -> ListAnswers:
+    def list_answers(self, kind: str) -> ListAnswers:
         """Answers of the list service over all workers."""
         found: list[ListAnswers] = [getattr(report, kind) for report in self.reports]
         return ListAnswers(
@@ -368,25 +369,25 @@
             "counter_bytes_in_per_gateway": self.per_gateway("counter_bytes_in"),
             "counter_calls_fleet": calls / self.seconds,
             "counter_names_active": float(after.counter_figures.names),
-            "counter_busy_share": share(
+            "counter_busy_share": ratio(
                 after.counter_figures.turned_away - before.counter_figures.turned_away, calls),
             "list_calls_per_gateway": self.per_gateway("list_calls"),
             "list_bytes_out_per_gateway": self.per_gateway("list_bytes_out"),
             "list_bytes_in_per_gateway": self.per_gateway("list_bytes_in"),
-            "list_bytes_out_leader": self.served_bytes(before.leader_figures, after.leader_figures),
-            "list_bytes_out_follower": self.served_bytes(before.follower_figures, after.follower_figures),
+            "list_bytes_out_leader": self.list_bytes_per_second(before.leader_figures, after.leader_figures),
+            "list_bytes_out_follower": self.list_bytes_per_second(before.follower_figures, after.follower_figures),
             "customers_per_gateway": self.customers() / len(self.hollow),
-            "whole_lists_per_start": self.answers("whole_lists").number / starts,
+            "whole_lists_per_start": self.list_answers("whole_lists").number / starts,
         }
-        found |= self.answer_bytes() | self.quota_shares() | self.aggregator_counts()
+        found |= self.list_answer_bytes() | self.quota_shares() | self.aggregator_counts()
         if self.restarted_at:
             found |= self.restart_counts()
         return found
 
-    def answer_bytes(self) -> dict[str, float]:
+    def list_answer_bytes(self) -> dict[str, float]:
         found = {}
         for kind, name in (("whole_lists", "whole_list_bytes"), ("changes", "change_bytes")):
-            answers = self.answers(kind)
+            answers = self.list_answers(kind)
             if answers.number:
                 found[name] = answers.bytes / answers.number
         return found
@@ -396,7 +397,7 @@
         logs = [report.events for report in self.reports]
         if self.clients is not None:
             logs.append(self.clients.events)
-        outcome = settle(self.deployment, logs, self.began, self.began + self.plan.seconds)
+        outcome = replay_events(self.deployment, logs, self.started_at, self.started_at + self.plan.seconds)
         if not outcome.requests:
             return {}
         return {
@@ -416,11 +417,11 @@
     def times(self) -> dict[str, float]:
         module = sum(report.module_seconds for report in self.reports)
         process = sum(report.process_seconds for report in self.reports)
-        requests = total(self.hollow, "requests")
+        requests = sum_figure(self.hollow, "requests")
         found = {
             "module_cpu_share": module / self.hollow_seconds,
             "control_cpu_share": (process - module) / self.hollow_seconds,
-            **self.peer_times(), **self.answer_times(), **self.memory(), **self.news(), **self.added(),
+            **self.peer_times(), **self.list_answer_times(), **self.memory(), **self.list_update_times(), **self.added_latency(),
         }
         if requests:
             found["module_us_per_request"] = MICROSECONDS * module / requests
@@ -454,7 +455,7 @@
         return {
             "aggregator_calls_in": calls / self.seconds,
             "aggregator_calls_out": sum(a.calls_out - b.calls_out for b, a in pairs) / self.seconds,
-            "aggregator_busy_share": share(sum(a.turned_away - b.turned_away for b, a in pairs), calls),
+            "aggregator_busy_share": ratio(sum(a.rejected_calls - b.rejected_calls for b, a in pairs), calls),
             **self.failover_counts(),
         }
 
@@ -484,10 +485,10 @@
             **self.failover_times(),
         }
 
-    def answer_times(self) -> dict[str, float]:
+    def list_answer_times(self) -> dict[str, float]:
         found = {}
         for kind, name in (("whole_lists", "whole_list_ms"), ("changes", "change_ms")):
-            answers = self.answers(kind)
+            answers = self.list_answers(kind)
             if answers.number:
                 found[name] = 1000.0 * answers.seconds / answers.number
         return found
@@ -496,18 +497,18 @@
         """Growth of the processes that host hollow gateways, shared evenly by what they host."""
         gateways = len(self.hollow)
         loaded = sum(report.memory_loaded for report in self.reports)
-        before = sum(ready.memory_before for ready in self.ready)
-        created = sum(ready.memory_created for ready in self.ready)
-        listed = sum(ready.memory_listed for ready in self.ready)
+        before = sum(ready.memory_before for ready in self.ready_reports)
+        created = sum(ready.memory_created for ready in self.ready_reports)
+        listed = sum(ready.memory_listed for ready in self.ready_reports)
         found = {
             "gateway_memory_mb": (loaded - before) / gateways / 2**20,
             "memory_per_backend_bytes": (listed - created) / gateways / self.plan.size.backends,
         }
-        if self.customers() >= LEAST_CUSTOMERS * gateways and not self.restarted_at:
+        if self.customers() >= MIN_CUSTOMERS_PER_GATEWAY * gateways and not self.restarted_at:
             found["memory_per_customer_bytes"] = (loaded - listed) / self.customers()
         return found
 
-    def news(self) -> dict[str, float]:
+    def list_update_times(self) -> dict[str, float]:
         """From a write's answer to the last hollow gateway told of it, for writes that all were told of."""
         took = []
         for place, write in enumerate(self.writes):
@@ -519,10 +520,10 @@
             return {}
         return {"news_last_ms": statistics.median(took), "news_longest_ms": max(took)}
 
-    def added(self) -> dict[str, float]:
+    def added_latency(self) -> dict[str, float]:
         if self.clients is None or not self.clients.added_ms:
             return {}
-        histogram = HdrHistogram(1, HIGHEST_ADDED_US, 3)
+        histogram = HdrHistogram(1, MAX_ADDED_US, 3)
         for ms in self.clients.added_ms:
             histogram.record_value(max(1, round(1000.0 * ms)))
         return {
@@ -530,32 +531,32 @@
             for percent in (50, 99)}
 
 
-def share(part: float, whole: float) -> float:
+def ratio(part: float, whole: float) -> float:
     return part / whole if whole else 0.0
 
 
 async def watch_memory(children: Children) -> None:
     """Ends with TooMuchMemory once the play's processes use more than their part."""
-    most = MEMORY_PART * machine_memory()
+    most = MAX_MEMORY_SHARE * machine_memory()
     while True:
         try:
             used = children.memory_bytes()
         except ChildFailed:
             used = 0  # its end is told by another
         if used > most:
-            raise TooMuchMemory(f"the play uses {used / 2**30:.1f} GB, over half of the machine's memory")
+            raise MemoryLimitExceeded(f"the play uses {used / 2**30:.1f} GB, over half of the machine's memory")
         await asyncio.sleep(MEMORY_POLL_SECONDS)
 
 
 async def run_play(plan: PlayPlan, folder: pathlib.Path) -> PlayResult:
     """ChildFailed, or its kinds, where a process does not start, ends or does not answer."""
-    timeout = aiohttp.ClientTimeout(total=ANSWER_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_SECONDS)
     async with Children(folder) as children, aiohttp.ClientSession(timeout=timeout) as session:
         run = PlayRun(plan, folder, children, session)
-        return await children.unless_one_ends(within_memory(run, children), plan.limit_seconds())
+        return await children.run_unless_child_ends(run_within_memory(run, children), plan.timeout_seconds())
 
 
-async def within_memory(run: PlayRun, children: Children) -> PlayResult:
+async def run_within_memory(run: PlayRun, children: Children) -> PlayResult:
     playing, watching = asyncio.create_task(run.run()), asyncio.create_task(watch_memory(children))
     try:
         await asyncio.wait({playing, watching}, return_when=asyncio.FIRST_COMPLETED)
--- a/embersill/lab/scale/quota_account.py
+++ b/embersill/lab/scale/quota_account.py
@@ -18,11 +18,11 @@
 
     plan: QuotaPlan
     level: float
-    at: float
+    updated_at: float
 
     def refill(self, now: float) -> None:
-        self.level = min(self.plan.burst, self.level + self.plan.rate * (now - self.at))
-        self.at = now
+        self.level = min(self.plan.burst, self.level + self.plan.rate * (now - self.updated_at))
+        self.updated_at = now
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
         return self.sent + self.refused
 
 
-def settle(
+def replay_events(
     deployment: Deployment, logs: Iterable[QuotaEvents], began: float, until: float
 ) -> QuotaOutcome:
     """Replays all events in their order. Quotas are full at the first; what counts lies between the moments.
--- a/embersill/lab/scale/real_gateways.py
+++ b/embersill/lab/scale/real_gateways.py
@@ -23,7 +23,7 @@
     return RealGatewayPorts(number, free_port(), [free_port() for _ in range(directories)], free_port())
 
 
-def configuration(
+def gateway_config(
     deployment: Deployment, ports: RealGatewayPorts, seed: int, aggregator_list: str = ""
 ) -> dict[str, object]:
     """A gateway that starts with no list, as hollow ones do."""
@@ -33,7 +33,7 @@
         "counter": f"{HOST}:{ports.counter_relay}", "seed": f"{seed:016x}",
         "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
         "known": {"generation": 0, "reset": True, "instances": []},
-        "settings": deployment.told_settings(ports.number),
+        "settings": deployment.raw_settings(ports.number),
     }
     aggregation = deployment.aggregation(aggregator_list)
     if aggregation is not None:
@@ -48,7 +48,7 @@
     home = folder / f"gateway-{ports.number}"
     home.mkdir()
     path = home / "config.json"
-    path.write_text(json.dumps(configuration(deployment, ports, seed, aggregator_list)))
+    path.write_text(json.dumps(gateway_config(deployment, ports, seed, aggregator_list)))
     command = os.environ.get(RUN_VARIABLE) or str(deployed(HERE)["run"])
     return await children.start(
         f"gateway-{ports.number}", ["/bin/sh", "-c", command],
@@ -63,4 +63,4 @@
                 await asyncio.sleep(READY_POLL_SECONDS)
     except TimeoutError:
         raise ChildNotStarted(
-            f"{child.name} did not get ready within {within:.0f} s{child.last_words()}") from None
+            f"{child.name} did not get ready within {within:.0f} s{child.last_log_line()}") from None
--- a/embersill/lab/scale/resp.py
+++ b/embersill/lab/scale/resp.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-LONGEST_LIFE_SECONDS = 60.0
-MOST_NAME_BYTES = 64
-MOST_AMOUNT = 1e9
-LINE_LENGTH = 50  # calls waiting at a part of the counter, beyond which a call is turned away
-FORGET_EVERY = 4096  # calls between clearings of names that have ended
+MAX_LIFE_SECONDS = 60.0
+MAX_NAME_BYTES = 64
+MAX_AMOUNT = 1e9
+MAX_QUEUED_CALLS = 50  # calls waiting at a part of the counter, beyond which a call is turned away
+REMOVE_EXPIRED_EVERY = 4096  # calls between clearings of names that have ended
 BUSY = b"-BUSY the part has no room\r\n"
 PONG, OK = b"+PONG\r\n", b"+OK\r\n"
 
 
-class BadCall(Exception):
+class InvalidCall(Exception):
     """Why a call is answered by -ERR."""
 
 
@@ -25,7 +25,7 @@
     """A name's total, and the time at which the name ends."""
 
     total: float
-    ends_at: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,18 +40,18 @@
 def read_add_call(words: list[bytes]) -> AddCall:
     """BadCall says what is wrong with it."""
     if len(words) != 4 or words[0].upper() != b"CNT.ADD":
-        raise BadCall("no such call")
+        raise InvalidCall("no such call")
     try:
         name, amount, life_ms = words[1].decode(), float(words[2]), int(words[3])
     except (UnicodeDecodeError, ValueError):
-        raise BadCall("amount or life is no number, or the name no text") from None
-    if not 1 <= len(words[1]) <= MOST_NAME_BYTES:
-        raise BadCall(f"a name has 1 to {MOST_NAME_BYTES} bytes")
-    if not math.isfinite(amount) or abs(amount) > MOST_AMOUNT:
-        raise BadCall("the amount is out of range")
+        raise InvalidCall("amount or life is no number, or the name no text") from None
+    if not 1 <= len(words[1]) <= MAX_NAME_BYTES:
+        raise InvalidCall(f"a name has 1 to {MAX_NAME_BYTES} bytes")
+    if not math.isfinite(amount) or abs(amount) > MAX_AMOUNT:
+        raise InvalidCall("the amount is out of range")
     if life_ms < 1:
-        raise BadCall("a life is at least 1 ms")
-    return AddCall(name, amount, min(life_ms / 1000.0, LONGEST_LIFE_SECONDS))
+        raise InvalidCall("a life is at least 1 ms")
+    return AddCall(name, amount, min(life_ms / 1000.0, MAX_LIFE_SECONDS))
 
 
 def bulk_total(total: float) -> bytes:
@@ -67,9 +67,9 @@
 
     def __init__(self, clock: Callable[[], float], parts: int, calls_per_second: float) -> None:
         self.clock, self.calls_per_second = clock, calls_per_second
-        self.free_at = [clock()] * parts
+        self.part_free_at = [clock()] * parts
         self.names: dict[str, NamedTotal] = {}
-        self.calls = self.turned_away = 0
+        self.calls = self.rejected_calls = 0
 
     def reserve(self, name: str) -> float | None:
         """The time at which a call for this name is served; None where its part turns it away."""
@@ -77,29 +77,29 @@
         self.calls += 1
         if self.calls_per_second <= 0:
             return now
-        part = zlib.crc32(name.encode()) % len(self.free_at)
-        begins = max(now, self.free_at[part])
-        if (begins - now) * self.calls_per_second > LINE_LENGTH:
-            self.turned_away += 1
+        part = zlib.crc32(name.encode()) % len(self.part_free_at)
+        begins = max(now, self.part_free_at[part])
+        if (begins - now) * self.calls_per_second > MAX_QUEUED_CALLS:
+            self.rejected_calls += 1
             return None
-        self.free_at[part] = begins + 1.0 / self.calls_per_second
-        return self.free_at[part]
+        self.part_free_at[part] = begins + 1.0 / self.calls_per_second
+        return self.part_free_at[part]
 
     def add(self, call: AddCall) -> float:
         """The new total. A name's life begins with its first call and is not extended by others."""
         now = self.clock()
-        if self.calls % FORGET_EVERY == 0:
-            self.forget_ended()
+        if self.calls % REMOVE_EXPIRED_EVERY == 0:
+            self.remove_expired()
         kept = self.names.get(call.name)
-        if kept is None or kept.ends_at <= now:
+        if kept is None or kept.expires_at <= now:
             kept = self.names[call.name] = NamedTotal(0.0, now + call.life_seconds)
         kept.total += call.amount
         return kept.total
 
-    def forget_all(self) -> None:
+    def clear(self) -> None:
         """As a restart of the counter would."""
         self.names.clear()
 
-    def forget_ended(self) -> None:
+    def remove_expired(self) -> None:
         now = self.clock()
-        self.names = {name: kept for name, kept in self.names.items() if kept.ends_at > now}
+        self.names = {name: kept for name, kept in self.names.items() if kept.expires_at > now}
--- a/embersill/lab/scale/worker.py
+++ b/embersill/lab/scale/worker.py
@@ -16,12 +16,12 @@
 import uvloop
 
 from embersill.lab.scale.clock import own_memory
-from embersill.lab.scale.deployment import Deployment, DrawnRequest
+from embersill.lab.scale.deployment import Deployment, GeneratedRequest
 from embersill.lab.scale.metered_router import MeteredRouter
 from embersill.lab.scale.hollow import (
-    AnswerTally, GatewayFigures, HollowGateway, ParseTimer, ProcessFigures, RequestSource,
+    AnswerTotals, GatewayFigures, HollowGateway, ProcessFigures, RequestSource, TimedListReader,
 )
-from embersill.lab.scale.lines import OrderStream, send_answer
+from embersill.lab.scale.lines import CommandStream, send_answer
 from embersill.lab.scale.messages import (
     BeginLoad, BeginMeasuring, Collect, Done, EndMeasuring, FailoverFigures, GatewayCounts, GatewaysReady,
     ListAnswers, Restart, RestartFigures, WatchFailover, WorkerReport, WorkerTask,
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Window:
+class WorkerSnapshot:
     """Figures at a moment, of which differences are taken."""
 
     at: float  # monotonic
@@ -47,42 +47,42 @@
     def __init__(self, task: WorkerTask) -> None:
         self.task = task
         self.deployment = Deployment(task.size, task.seed)
-        self.dice = random.Random(f"{task.seed} {task.gateways[:1]}")
-        self.process = ProcessFigures(ParseTimer())
-        self.figures = [GatewayFigures() for _ in task.gateways]
-        self.hollow: list[HollowGateway] = []
+        self.rng = random.Random(f"{task.seed} {task.gateways[:1]}")
+        self.process = ProcessFigures(TimedListReader())
+        self.gateway_figures = [GatewayFigures() for _ in task.gateways]
+        self.gateways: list[HollowGateway] = []
         self.sources: list[RequestSource] = []
-        self.restarted: list[HollowGateway] = []
-        self.began = self.ended = self.window()
+        self.restarted_gateways: list[HollowGateway] = []
+        self.start_snapshot = self.end_snapshot = self.snapshot()
         self.memory_before = own_memory()
         self.memory_created = self.memory_listed = 0
 
     async def start_gateways(self) -> None:
         """Starts them at the task's pace, and waits until each has its list."""
-        self.hollow = [self.make(place) for place in range(len(self.task.gateways))]
+        self.gateways = [self.make_gateway(place) for place in range(len(self.task.gateways))]
         self.sources = [
-            RequestSource(self.deployment, number, self.dice.getrandbits(32), self.arrival_at(place))
+            RequestSource(self.deployment, number, self.rng.getrandbits(32), self.arrival_handler(place))
             for place, number in enumerate(self.task.gateways)]
         gc.collect()
         self.memory_created = own_memory()
-        for made in self.hollow:
+        for made in self.gateways:
             made.start()
             await asyncio.sleep(1.0 / self.task.starts_per_second)
-        while not all(made.is_ready() for made in self.hollow):
+        while not all(made.is_ready() for made in self.gateways):
             await asyncio.sleep(READY_POLL_SECONDS)
         gc.collect()
         gc.freeze()  # as a gateway does after its start
         self.memory_listed = own_memory()
 
-    def make(self, place: int) -> HollowGateway:
+    def make_gateway(self, place: int) -> HollowGateway:
         task = self.task
         return HollowGateway(
             task.gateways[place], self.deployment, [read_address(a) for a in task.directories],
-            read_address(task.counter), self.dice.getrandbits(62), self.figures[place], self.process,
+            read_address(task.counter), self.rng.getrandbits(62), self.gateway_figures[place], self.process,
             [read_address(a) for a in task.aggregator_lists])
 
-    def arrival_at(self, place: int) -> RequestArrival:
-        return RequestArrival(self, place)
+    def arrival_handler(self, place: int) -> ArrivalHandler:
+        return ArrivalHandler(self, place)
 
     def begin_load(self) -> None:
         for source in self.sources:
@@ -93,76 +93,76 @@
         wanted = set(numbers)
         places = [place for place, number in enumerate(self.task.gateways) if number in wanted]
         for place in places:
-            self.hollow[place].close()
+            self.gateways[place].close()
         for place in places:
-            self.hollow[place] = self.make(place)
-            self.restarted.append(self.hollow[place])
-            self.hollow[place].start()
+            self.gateways[place] = self.make_gateway(place)
+            self.restarted_gateways.append(self.gateways[place])
+            self.gateways[place].start()
 
-    def window(self) -> Window:
-        return Window(
-            time.monotonic(), [f.counts() for f in self.figures], self.process.module_seconds,
+    def snapshot(self) -> WorkerSnapshot:
+        return WorkerSnapshot(
+            time.monotonic(), [f.counts() for f in self.gateway_figures], self.process.module_seconds,
             time.process_time())
 
     def report(self, generations: list[int]) -> WorkerReport:
         counts = [after.since(before) for before, after in
-                  zip(self.began.counts, self.ended.counts, strict=True)]
+                  zip(self.start_snapshot.counts, self.end_snapshot.counts, strict=True)]
         return WorkerReport(
-            self.ended.at - self.began.at, counts, [len(made.gateway.throttles) for made in self.hollow],
+            self.end_snapshot.at - self.start_snapshot.at, counts, [len(made.gateway.throttles) for made in self.gateways],
             self.process.starts,
-            told(self.process.whole_lists), told(self.process.changes),
-            self.ended.module_seconds - self.began.module_seconds,
-            self.ended.process_seconds - self.began.process_seconds,
-            own_memory(), [self.last_told(generation) for generation in generations], self.restart_figures(),
+            list_answers(self.process.full_lists), list_answers(self.process.changes),
+            self.end_snapshot.module_seconds - self.start_snapshot.module_seconds,
+            self.end_snapshot.process_seconds - self.start_snapshot.process_seconds,
+            own_memory(), [self.last_received_at(generation) for generation in generations], self.restart_figures(),
             self.failover_figures(), self.process.events, self.given_up())
 
     def given_up(self) -> dict[str, int]:
         reasons = Counter[str]()
-        for made in self.hollow:
+        for made in self.gateways:
             reasons.update(made.gateway.given_up)
         return dict(reasons)
 
-    def last_told(self, generation: int) -> float | None:
+    def last_received_at(self, generation: int) -> float | None:
         """When the last gateway here heard of a write, or of a later one; None if one did not."""
         last = 0.0
-        for figures in self.figures:
-            at = next((at for told, at in figures.told if told >= generation), None)
+        for figures in self.gateway_figures:
+            at = next((at for told, at in figures.lists_received if told >= generation), None)
             if at is None:
                 return None
             last = max(last, at)
         return last
 
     def restart_figures(self) -> RestartFigures:
-        told_ones = [made for made in self.restarted if made.told_at]
+        told_ones = [made for made in self.restarted_gateways if made.first_list_at]
         return RestartFigures(
-            len(self.restarted), len(self.restarted) - len(told_ones),
-            sum(made.list_calls_until_told for made in self.restarted),
-            sum(made.bytes_until_told for made in told_ones),
-            max((made.told_at for made in told_ones), default=0.0))
+            len(self.restarted_gateways), len(self.restarted_gateways) - len(told_ones),
+            sum(made.list_calls_until_first_list for made in self.restarted_gateways),
+            sum(made.bytes_until_first_list for made in told_ones),
+            max((made.first_list_at for made in told_ones), default=0.0))
 
     def routers(self) -> list[MeteredRouter]:
-        return [made.counter for made in self.hollow if isinstance(made.counter, MeteredRouter)]
+        return [made.counter for made in self.gateways if isinstance(made.counter, MeteredRouter)]
 
     def failover_figures(self) -> FailoverFigures:
         watches = [router.failover for router in self.routers() if router.failover is not None]
         return FailoverFigures(
-            [watch.left_at for watch in watches if watch.left_at],
+            [watch.removed_at for watch in watches if watch.removed_at],
             [watch.answered_at for watch in watches if watch.answered_at])
 
-    async def obey(self, orders: OrderStream) -> None:
+    async def handle_commands(self, orders: CommandStream) -> None:
         while (order := await orders.read()) is not None:
             match order:
                 case BeginLoad():
                     self.begin_load()
                 case BeginMeasuring():
-                    self.began = self.window()
+                    self.start_snapshot = self.snapshot()
                 case Restart():
                     self.restart(order.gateways)
                 case WatchFailover():
                     for router in self.routers():
                         router.watch_failover(order.aggregator)
                 case EndMeasuring():
-                    self.ended = self.window()
+                    self.end_snapshot = self.snapshot()
                 case Collect():
                     send_answer(self.report(order.generations))
                     continue
@@ -170,28 +170,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestArrival:
+class ArrivalHandler:
     """Gives a gateway's requests to the process that stands in its place now."""
 
     worker: Worker
-    place: int
+    index: int
 
-    def __call__(self, drawn: DrawnRequest) -> None:
-        self.worker.hollow[self.place].take(drawn)
+    def __call__(self, drawn: GeneratedRequest) -> None:
+        self.worker.gateways[self.index].on_request(drawn)
 
 
-def told(tally: AnswerTally) -> ListAnswers:
+def list_answers(tally: AnswerTotals) -> ListAnswers:
     return ListAnswers(tally.number, tally.bytes, tally.seconds)
 
 
 async def serve() -> None:
-    orders = await OrderStream.open()
+    orders = await CommandStream.open()
     task = await orders.read()
     if not isinstance(task, WorkerTask):
         return
     worker = Worker(task)
     starting = asyncio.create_task(worker.start_gateways())
-    obeying = asyncio.create_task(worker.obey(orders))
+    obeying = asyncio.create_task(worker.handle_commands(orders))
     await asyncio.wait({starting, obeying}, return_when=asyncio.FIRST_COMPLETED)
     if starting.done():
         await starting
--- a/embersill/lab/soak/counter.py
+++ b/embersill/lab/soak/counter.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from embersill.lab.peers import Peer, read_call, total_text
-from embersill.lab.scale.resp import BUSY, LONGEST_LIFE_SECONDS, OK, AddCall, CounterModel
+from embersill.lab.scale.resp import BUSY, MAX_LIFE_SECONDS, OK, AddCall, CounterModel
 
 LATEST = 0.3  # seconds that an answer takes at the most while the counter is slow
 
@@ -40,7 +40,7 @@
             else:
                 if self.state is CounterState.LATE:
                     await asyncio.sleep(self.dice.uniform(0.0, LATEST))
-                life = min(float(words[3]) / 1000.0, LONGEST_LIFE_SECONDS)
+                life = min(float(words[3]) / 1000.0, MAX_LIFE_SECONDS)
                 self.model.reserve(words[1])
                 total = self.model.add(AddCall(words[1], float(words[2]), life))
                 if self.state is not CounterState.SILENT and not writer.is_closing():
--- a/embersill/lab/soak/play.py
+++ b/embersill/lab/soak/play.py
@@ -328,7 +328,7 @@
         await asyncio.sleep(fault.lasts)
         self.counter.state = CounterState.PROMPT
         if fault.part < FORGETS_FROM:
-            self.counter.model.forget_all()
+            self.counter.model.clear()
 
     def may_replace(self, number: int) -> bool:
         """Whether no other process of this gateway is coming or going."""
--- a/tests/ceiling_schedules.py
+++ b/tests/ceiling_schedules.py
@@ -161,7 +161,7 @@
     def plan_losses(self) -> None:
         moment = self.begins + self.dice.uniform(0.0, self.refill)
         while self.schedule.losses and moment < self.ends:
-            self.at(moment, partial(self.fleet.counter.forget_all))
+            self.at(moment, partial(self.fleet.counter.clear))
             moment += loss_spacing(self.schedule)
 
 
--- a/tests/test_scale_aggregated.py
+++ b/tests/test_scale_aggregated.py
@@ -26,12 +26,12 @@
     Aggregator, AggregatorFigures, read_figures, start_aggregator,
 )
 from embersill.lab.scale.children import Child, Children
-from embersill.lab.scale.clients_process import Backends, EventLog, RealGatewayClients
+from embersill.lab.scale.clients_process import Backends, QuotaEventLog, RealGatewayClients
 from embersill.lab.scale.counter_process import listen
-from embersill.lab.scale.deployment import READ, Deployment, DrawnRequest
-from embersill.lab.scale.list_service import fill_folder, start_service
+from embersill.lab.scale.deployment import READ, Deployment, GeneratedRequest
+from embersill.lab.scale.list_service import write_list, start_list_service
 from embersill.lab.scale.messages import ClientsTask
-from embersill.lab.scale.plan import PEER_START_SECONDS
+from embersill.lab.scale.plan import PEER_START_TIMEOUT_SECONDS
 from embersill.lab.scale.real_gateways import choose_ports, start_gateway, wait_ready
 from embersill.lab.scale.records import FleetSize
 from embersill.lab.scale.resp import AddCall, CounterModel
@@ -74,7 +74,7 @@
 
     def total(self, name: str) -> float:
         kept = self.names.get(name)
-        return kept.total if kept is not None and kept.ends_at > self.clock() else 0.0
+        return kept.total if kept is not None and kept.expires_at > self.clock() else 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,7 +205,7 @@
         self.counter = RecordingCounter()
         self.counter_port, self.list_port = free_port(), free_port()
         self.aggregator_list = f"{HOST}:{free_port()}"
-        self.events = EventLog()
+        self.events = QuotaEventLog()
         self.backends = Backends(self.events)
         self.ports = [choose_ports(number, 1) for number in range(GATEWAYS)]
         self.addresses = {f"aggregator-{n}": f"{HOST}:{free_port()}" for n in range(AGGREGATORS)}
@@ -238,20 +238,20 @@
         server = await listen(self.counter, self.counter_port)
         assert server.is_serving()
         await self.backends.start()
-        fill_folder(self.folder / "list", SIZE.backends, self.backends.address)
-        backend_list = await start_service(self.children, self.folder / "list", self.list_port, GATEWAYS)
-        aggregator_list = await start_service(
+        write_list(self.folder / "list", SIZE.backends, self.backends.address)
+        backend_list = await start_list_service(self.children, self.folder / "list", self.list_port, GATEWAYS)
+        aggregator_list = await start_list_service(
             self.children, self.folder / "aggregators", int(self.aggregator_list.rpartition(":")[2]),
             GATEWAYS, name="aggregators")
         for child in (backend_list, aggregator_list):
-            await child.logged("listening on", PEER_START_SECONDS)
+            await child.wait_for_log("listening on", PEER_START_TIMEOUT_SECONDS)
         for name, address in self.addresses.items():
             self.relays[name] = AggregatorRelay(name, address, self)
             await self.relays[name].start()
         for name in self.addresses:
             await self.start_aggregator(name)
         for made in self.aggregators.values():
-            await made.child.logged("registered as", PEER_START_SECONDS)
+            await made.child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
         await self.start_gateways()
 
     async def start_aggregator(self, name: str) -> None:
@@ -271,7 +271,7 @@
             self.gateways.append(await start_gateway(
                 self.children, self.folder, self.deployment, ports, ports.number, self.aggregator_list))
         for child, ports in zip(self.gateways, self.ports, strict=True):
-            await wait_ready(child, ports, PEER_START_SECONDS)
+            await wait_ready(child, ports, PEER_START_TIMEOUT_SECONDS)
 
     def load(self, on: bool, hot: bool = False) -> None:
         for clients in self.clients:
@@ -289,13 +289,13 @@
         """At each gateway as much as the quota allows at all of them."""
         while True:
             for clients in self.clients:
-                clients.arrive(DrawnRequest(self.hot, READ, SERVICE_SECONDS))
+                clients.on_arrival(GeneratedRequest(self.hot, READ, SERVICE_SECONDS))
             await asyncio.sleep(1.0 / self.hot_rate)
 
     async def ask_for_thin_customers(self) -> None:
         while True:
             for clients in self.thin_clients:
-                clients.arrive(DrawnRequest(self.dice.choice(THIN_CUSTOMERS), READ, SERVICE_SECONDS))
+                clients.on_arrival(GeneratedRequest(self.dice.choice(THIN_CUSTOMERS), READ, SERVICE_SECONDS))
             await asyncio.sleep(1.0 / THIN_REQUESTS_PER_SECOND)
 
     async def calls_end(self) -> None:
@@ -324,10 +324,10 @@
         await self.children.kill(self.aggregators.pop(name).child)
 
     def served(self) -> list[int]:
-        return [clients.tally.served for clients in self.clients]
+        return [clients.answer_counts.served for clients in self.clients]
 
     def failed(self) -> int:
-        return sum(clients.tally.failed for clients in self.clients)
+        return sum(clients.answer_counts.failed for clients in self.clients)
 
     async def until(self, done: Callable[[], bool], within: float) -> None:
         """Returns at the end of the time where it is not done by then: the tests judge that."""
@@ -382,7 +382,7 @@
     await bed.kill("aggregator-1")
     seen.restarted, seen.restarted_at = "aggregator-1", time.monotonic()
     await bed.start_aggregator("aggregator-1")
-    await bed.aggregators["aggregator-1"].child.logged("registered as", PEER_START_SECONDS)
+    await bed.aggregators["aggregator-1"].child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
     began, sent = time.monotonic(), bed.hot_sent()
     await asyncio.sleep(RESTARTED_SECONDS)
     seen.hot_sent_after_restart = bed.hot_sent() - sent
--- a/tests/test_scale_command.py
+++ b/tests/test_scale_command.py
@@ -238,11 +238,11 @@
 def test_aggregators_are_refused_where_their_program_is_not_there(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(aggregators, "MODULE", "embersill.no_such_program")
     aggregators.check_aggregators(0)
-    with pytest.raises(aggregators.NoAggregators, match="no embersill.no_such_program here"):
+    with pytest.raises(aggregators.AggregatorsUnavailable, match="no embersill.no_such_program here"):
         aggregators.check_aggregators(2)
 
 
 def test_aggregators_share_the_counters_capacity() -> None:
     size = replace(SMALL_BASE, aggregators=4, counter_parts=2, counter_calls_per_second=500.0)
-    assert aggregators.upstream_calls(size) == 250.0
-    assert aggregators.upstream_calls(replace(size, counter_calls_per_second=0.0)) >= 1e6
+    assert aggregators.upstream_call_rate(size) == 250.0
+    assert aggregators.upstream_call_rate(replace(size, counter_calls_per_second=0.0)) >= 1e6
--- a/tests/test_scale_counter.py
+++ b/tests/test_scale_counter.py
@@ -11,7 +11,7 @@
 from embersill.interface import CounterCallEnded, Outcome
 from embersill.lab.peers import HOST
 from embersill.lab.scale.counter_process import listen
-from embersill.lab.scale.resp import LINE_LENGTH, AddCall, CounterModel, bulk_total
+from embersill.lab.scale.resp import MAX_QUEUED_CALLS, AddCall, CounterModel, bulk_total
 from embersill.net.counter import Counter
 
 WITHIN = 10.0  # seconds for anything here
@@ -115,7 +115,7 @@
     clock.now += 0.2  # over the first call's life, within the second's
     assert model.add(AddCall("a", 1.0, 4.0)) == 1.0
     clock.now += 4.1
-    model.forget_ended()
+    model.remove_expired()
     assert not model.names
 
 
@@ -127,7 +127,7 @@
         caller = await Caller.open(port)
         caller.write("CNT.ADD", "a", "1", "600000")
         assert await caller.reply() == b"$1\r\n1\r\n"
-        assert model.names["a"].ends_at == clock.now + 60.0
+        assert model.names["a"].expires_at == clock.now + 60.0
 
     serve(model, test)
 
@@ -144,8 +144,8 @@
     while model.reserve("a") is not None:
         served += 1
     # those in line, and the one that is being served
-    assert served == LINE_LENGTH + 1
-    assert model.turned_away == 1
+    assert served == MAX_QUEUED_CALLS + 1
+    assert model.rejected_calls == 1
     clock.now += 1.0 / 500.0
     assert model.reserve("a") is not None
     assert model.reserve("a") is None
@@ -163,15 +163,15 @@
 
     async def test(port: int) -> None:
         caller = await Caller.open(port)
-        many = 3 * LINE_LENGTH
+        many = 3 * MAX_QUEUED_CALLS
         for _ in range(many):
             caller.write("CNT.ADD", "a", "1", "4000")
         caller.write("PING")
         replies = [await caller.reply() for _ in range(many)]
         served = [reply for reply in replies if not reply.startswith(b"-BUSY")]
         assert served == [bulk_total(float(n)) for n in range(1, len(served) + 1)]
-        assert replies.count(b"-BUSY the part has no room\r\n") == model.turned_away == many - len(served)
-        assert model.turned_away > 0
+        assert replies.count(b"-BUSY the part has no room\r\n") == model.rejected_calls == many - len(served)
+        assert model.rejected_calls > 0
         assert await caller.reply() == b"+PONG\r\n"
 
     serve(model, test)
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -17,7 +17,7 @@
 from embersill.lab.scale.messages import GatewayCounts, QuotaEvents
 from embersill.lab.scale.plan import PlayPlan
 from embersill.lab.scale.play import PlayResult, run_play
-from embersill.lab.scale.quota_account import settle
+from embersill.lab.scale.quota_account import replay_events
 from embersill.lab.scale.records import FleetSize
 
 SIGMAS = 5.0  # standard deviations that two means of the same thing may be apart: chance alone takes them
@@ -129,7 +129,7 @@
 def test_a_deployment_follows_from_size_and_seed() -> None:
     one, two = Deployment(EVEN_FLEET, 5), Deployment(EVEN_FLEET, 5)
     assert one.tiers == two.tiers
-    assert one.told_settings(3) == two.told_settings(3)
+    assert one.raw_settings(3) == two.raw_settings(3)
     assert Deployment(EVEN_FLEET, 6).tiers != one.tiers
 
 
@@ -165,8 +165,8 @@
     two = QuotaEvents([10.1, 10.3, 9.0], [0, 0, 0], [True, False, False])
     # full with 2 at 9.0 (a refusal with room); 10.0 and 10.1 take them; at 10.2 a tenth or two is there;
     # 10.3 is refused rightly; at 12.0 there is room again
-    outcome = settle(deployment, [one, two], 9.0, 13.0)
+    outcome = replay_events(deployment, [one, two], 9.0, 13.0)
     assert (outcome.sent, outcome.refused) == (3, 3)
     assert (outcome.beyond_quota, outcome.refused_with_room) == (1, 2)
-    later = settle(deployment, [one, two], 10.15, 13.0)
+    later = replay_events(deployment, [one, two], 10.15, 13.0)
     assert (later.sent, later.refused, later.beyond_quota, later.refused_with_room) == (1, 2, 1, 1)
