--- a/embersill/lab/scale/clients_process.py
+++ b/embersill/lab/scale/clients_process.py
@@ -1,7 +1,9 @@
-"""What surrounds the real gateways of a play: python -m embersill.lab.scale.clients_process, as a child.
+"""The process that hosts the peers of a play's real gateways, a child of the scale command.
 
-Backends that answer after the time that a request asks for, relays that count what a gateway exchanges with
-the list service and the counter, and clients that send drawn requests over HTTP.
+    python -m embersill.lab.scale.clients_process
+
+It holds backends that answer after the service time that a request names, relays that count the calls and
+bytes between a gateway and the list service or the counter, and clients that send generated requests by HTTP.
 """
 
 from __future__ import annotations
@@ -28,6 +30,7 @@
 
 CHUNK_BYTES = 65536
 BODY = b"x" * 200  # of a keyed request
+# customer and service time in the query of a request
 WORK_QUERY = re.compile(r"client=([0-9a-f]+)&work_us=(\d+)")
 ADD_CALL = b"CNT.ADD"
 HEAD_END = b"\r\n\r\n"
@@ -35,18 +38,19 @@
 
 @dataclass(slots=True)
 class QuotaEventLog:
-    """Requests sent on or refused, as peers see them."""
+    """Requests sent on or refused by real gateways, as backends and clients see them."""
 
     events: QuotaEvents = field(default_factory=lambda: QuotaEvents([], [], []))
 
     def record(self, customer: int, sent: bool) -> None:
+        """Records that a request arrived at a backend, or that a client got a refusal."""
         self.events.times.append(time.monotonic())
         self.events.customers.append(customer)
         self.events.sent.append(sent)
 
 
 class Backends(Peer):
-    """All backends of the fleet behind one address; each answer tells how long it took here."""
+    """All backends of the fleet at one address; the body of an answer is the service time in seconds."""
 
     def __init__(self, log: QuotaEventLog) -> None:
         super().__init__()
@@ -55,18 +59,18 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             first, _, _ = await read_message(reader)
-            began = time.monotonic()
+            started_at = time.monotonic()
             found = WORK_QUERY.search(first)
             if found is None:
                 writer.write(message(400))
                 continue
             self.log.record(int(found[1], 16), True)
             await asyncio.sleep(int(found[2]) / 1e6)
-            writer.write(message(200, b"%.6f" % (time.monotonic() - began)))
+            writer.write(message(200, b"%.6f" % (time.monotonic() - started_at)))
 
 
 class CallCounter:
-    """Counts calls of the counter in what a gateway writes on one connection."""
+    """Counts counter calls in the bytes that a gateway writes to one connection."""
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
@@ -80,10 +84,10 @@
 
 
 class RequestCounter:
-    """Counts HTTP requests without a body in what a gateway writes on one connection."""
+    """Counts HTTP requests without a body in the bytes that a gateway writes to one connection."""
 
     def __init__(self) -> None:
-        self.tail = b""
+        self.tail = b""  # the last bytes, in which the end of a head may have begun
 
     def __call__(self, data: bytes) -> int:
         text = self.tail + data
@@ -93,7 +97,7 @@
 
 @dataclass(slots=True)
 class RelayFigures:
-    """What went through a relay."""
+    """Calls and bytes that passed through the relays to one service."""
 
     calls: int = 0
     bytes_out: int = 0
@@ -101,19 +105,20 @@
 
 
 class Relay(Peer):
-    """Passes connections on to a service and counts."""
+    """Forwards connections to a service, and counts calls and bytes."""
 
     def __init__(
-        self, target: str, make_counter: Callable[[], CallCounter | RequestCounter], figures: RelayFigures
+        self, target: str, make_call_counter: Callable[[], CallCounter | RequestCounter],
+        figures: RelayFigures,
     ) -> None:
         super().__init__()
         host, _, port = target.rpartition(":")
         self.host, self.port = host, int(port)
-        self.make_call_counter, self.figures = make_counter, figures
+        self.make_call_counter, self.figures = make_call_counter, figures
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         answers, calls = await asyncio.open_connection(self.host, self.port)
-        back = asyncio.create_task(self.relay_answers(answers, writer))
+        answer_task = asyncio.create_task(self.relay_answers(answers, writer))
         count = self.make_call_counter()
         try:
             while data := await reader.read(CHUNK_BYTES):
@@ -121,7 +126,7 @@
                 self.figures.calls += count(data)
                 calls.write(data)
         finally:
-            back.cancel()
+            answer_task.cancel()
             calls.close()
 
     async def relay_answers(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -133,7 +138,7 @@
 
 @dataclass(slots=True)
 class AnswerCounts:
-    """Final answers, as clients of one gateway got them."""
+    """Requests of one gateway's clients, and their final answers."""
 
     requests: int = 0
     served: int = 0
@@ -162,35 +167,40 @@
         self.measuring = False
 
     async def start(self) -> None:
+        """Starts the relays; the request source is started by BeginLoad."""
         for relay, port in self.relays:
             await relay.start(port)
 
-    def on_arrival(self, drawn: GeneratedRequest) -> None:
+    def on_arrival(self, generated: GeneratedRequest) -> None:
         self.answer_counts.requests += 1
-        task = asyncio.create_task(self.send_request(drawn))
+        task = asyncio.create_task(self.send_request(generated))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def send_request(self, drawn: GeneratedRequest) -> None:
-        """One request, on a connection that no other uses meanwhile."""
-        began = time.monotonic()
+    async def send_request(self, generated: GeneratedRequest) -> None:
+        """Sends a request on a connection of its own, and counts its answer."""
+        started_at = time.monotonic()
         try:
             async with asyncio.timeout(BUDGET_SECONDS):
-                status, body = await self.exchange(self.request_bytes(drawn))
+                status, body = await self.exchange(self.request_bytes(generated))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.answer_counts.failed += 1
             return
         if status == 200:
             self.answer_counts.served += 1
             if self.measuring:
-                self.added_ms.append(1000.0 * (time.monotonic() - began - float(body)))
+                self.added_ms.append(1000.0 * (time.monotonic() - started_at - float(body)))
         elif status in (429, 503):
             self.answer_counts.refused += 1
-            self.log.record(drawn.customer, False)
+            self.log.record(generated.customer, False)
         else:
             self.answer_counts.failed += 1
 
     async def exchange(self, text: bytes) -> tuple[int, bytes]:
+        """Sends a request, and returns status and body of the answer.
+
+        Raises OSError or IncompleteReadError where the connection ends before.
+        """
         reader, writer = await self.connection()
         try:
             writer.write(text)
@@ -205,63 +215,72 @@
         return int(first.split()[1]), body
 
     async def connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """An idle connection that is still open, or a new one."""
         while self.idle_connections:
             reader, writer = self.idle_connections.pop()
             if not (reader.at_eof() or writer.is_closing()):
                 return reader, writer
         return await asyncio.open_connection(HOST, self.ports.gateway)
 
-    def request_bytes(self, drawn: GeneratedRequest) -> bytes:
+    def request_bytes(self, generated: GeneratedRequest) -> bytes:
+        """The request as it is written to a connection."""
         name = f"{next(self.request_numbers):016x}"
-        keyed = drawn.request_class == KEYED
+        keyed = generated.request_class == KEYED
         body = BODY if keyed else b""
-        query = f"client={customer_name(drawn.customer)}&work_us={round(1e6 * drawn.service_seconds)}"
-        first = int(self.deployment.first_gateways[drawn.customer])
+        query = (f"client={customer_name(generated.customer)}"
+                 f"&work_us={round(1e6 * generated.service_seconds)}")
+        first = int(self.deployment.first_gateways[generated.customer])
         lines = [
             f"{'POST' if keyed else 'GET'} /api?{query} HTTP/1.1", "Host: backend.local",
-            f"X-Call-Id: {name}", f"X-Call-Class: {drawn.request_class}",
-            f"Plan: {self.deployment.plan_of(drawn.customer).name}", f"X-Budget: {BUDGET_SECONDS:.3f}",
+            f"X-Call-Id: {name}", f"X-Call-Class: {generated.request_class}",
+            f"Plan: {self.deployment.plan_of(generated.customer).name}", f"X-Budget: {BUDGET_SECONDS:.3f}",
             f"Quota-Info: units=1,spread={self.deployment.size.spread},first={first}",
             *([f"Idempotency-Key: {name * 2}", f"Content-Length: {len(body)}"] if keyed else []), "", ""]
         return "\r\n".join(lines).encode() + body
 
     def counts(self) -> GatewayCounts:
-        tally, counter, listed = self.answer_counts, self.counter_figures, self.list_figures
+        """The present counts as a part of a report."""
+        answers, counter, list_service = self.answer_counts, self.counter_figures, self.list_figures
         return GatewayCounts(
-            tally.requests, tally.served, tally.refused, tally.failed, counter.calls, counter.bytes_out,
-            counter.bytes_in, listed.calls, listed.bytes_out, listed.bytes_in)
+            answers.requests, answers.served, answers.refused, answers.failed, counter.calls, counter.bytes_out,
+            counter.bytes_in, list_service.calls, list_service.bytes_out, list_service.bytes_in)
 
 
 class ClientsProcess:
-    """All of this process."""
+    """The backends, and the clients and relays of all real gateways."""
 
     def __init__(self, task: ClientsTask) -> None:
         deployment = Deployment(task.size, task.seed)
         self.port, self.log = task.backend_port, QuotaEventLog()
         self.backends = Backends(self.log)
         self.clients = [RealGatewayClients(task, deployment, ports, self.log) for ports in task.gateways]
-        self.counts_at_start = self.counts_at_end = [made.counts() for made in self.clients]
+        self.counts_at_start = self.counts_at_end = [clients.counts() for clients in self.clients]
 
     async def start(self) -> None:
         await self.backends.start(self.port)
-        for made in self.clients:
-            await made.start()
+        for clients in self.clients:
+            await clients.start()
 
     def set_measuring(self, on: bool) -> list[GatewayCounts]:
-        for made in self.clients:
-            made.measuring = on
-        return [made.counts() for made in self.clients]
+        """Starts or ends measuring of latencies; returns the present counts of each gateway."""
+        for clients in self.clients:
+            clients.measuring = on
+        return [clients.counts() for clients in self.clients]
 
     def report(self) -> ClientsReport:
-        counts = [after.since(before) for before, after in zip(self.counts_at_start, self.counts_at_end, strict=True)]
-        return ClientsReport(counts, [ms for made in self.clients for ms in made.added_ms], self.log.events)
-
-    async def handle_commands(self, orders: CommandStream) -> None:
-        while (order := await orders.read()) is not None:
-            match order:
+        """Counts and latencies of the measured time, and all quota events."""
+        counts = [after.since(before) for before, after in
+                  zip(self.counts_at_start, self.counts_at_end, strict=True)]
+        return ClientsReport(
+            counts, [ms for clients in self.clients for ms in clients.added_ms], self.log.events)
+
+    async def handle_commands(self, commands: CommandStream) -> None:
+        """Carries out commands until the stream ends."""
+        while (command := await commands.read()) is not None:
+            match command:
                 case BeginLoad():
-                    for made in self.clients:
-                        made.source.start()
+                    for clients in self.clients:
+                        clients.source.start()
                 case BeginMeasuring():
                     self.counts_at_start = self.set_measuring(True)
                 case EndMeasuring():
@@ -273,14 +292,15 @@
 
 
 async def serve() -> None:
-    orders = await CommandStream.open()
-    task = await orders.read()
+    """Runs the process from its task to the end of its commands."""
+    commands = await CommandStream.open()
+    task = await commands.read()
     if not isinstance(task, ClientsTask):
         return
     process = ClientsProcess(task)
     await process.start()
     send_answer(Listening())
-    await process.handle_commands(orders)
+    await process.handle_commands(commands)
 
 
 def main() -> None:
--- a/embersill/lab/scale/hollow.py
+++ b/embersill/lab/scale/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow gateways: the real decisions, list client and counter client, without clients and backends.
+"""Hollow gateways: gateways without sockets to clients and backends, many in one process.
 
-A request is drawn, a send is answered after a drawn service time; everything between is the gateway's own
-code. Many of them share one process.
+They run the real decision module, list client and counter client. Requests are generated here, and an attempt
+ends after a random service time.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from embersill.net.listing import Address, Listing, parse_listing
 from embersill.net.driver import DEADLINE_MARGIN
 
-AGGREGATOR_CONNECTIONS = 64  # at a gateway at the most, as a real one keeps room for
+AGGREGATOR_CONNECTIONS = 64  # limit at one gateway, as at a real one
 
 
 @dataclass(slots=True)
 class AnswerTotals:
-    """Answers of the list service of one kind."""
+    """Answers of the list service of one kind: their number, bytes, and CPU seconds to process them."""
 
     number: int = 0
     bytes: int = 0
@@ -45,17 +45,17 @@
 
 @dataclass(slots=True)
 class ParsedAnswer:
-    """The last answer that the list client parsed in this process."""
+    """Size of an answer of the list service, and CPU seconds to parse it."""
 
     bytes: int = 0
     seconds: float = 0.0
 
 
 class TimedListReader(ListReader):
-    """Stands in for the list client's reader and measures it; long lists are not read in slices here.
+    """Replaces the list client's reader and measures the parsing; long lists are not parsed in steps here.
 
-    Between the parsing of an answer and the call of `told` the client does not wait, so that the last answer
-    that was parsed is the one that is told.
+    The client does not wait between parsing an answer and the call of `on_list`, so `last_answer` belongs to
+    the list that `on_list` receives, though all gateways of the process share the reader.
     """
 
     def __init__(self) -> None:
@@ -63,25 +63,26 @@
         self.last_answer = ParsedAnswer()
 
     async def read(self, body: bytes) -> Listing:
-        """Parses an answer at one go."""
-        began = time.thread_time()
+        """Parses an answer in one step."""
+        started_at = time.thread_time()
         listing = parse_listing(body)
-        self.last_answer = ParsedAnswer(len(body), time.thread_time() - began)
+        self.last_answer = ParsedAnswer(len(body), time.thread_time() - started_at)
         return listing
 
 
 @dataclass(slots=True)
 class ProcessFigures:
-    """What all gateways of one process add to."""
+    """Counts and times summed over all gateways of one process."""
 
     list_reader: TimedListReader
-    module_seconds: float = 0.0
+    module_seconds: float = 0.0  # CPU time in the decision module
     starts: int = 0
     full_lists: AnswerTotals = field(default_factory=AnswerTotals)
     changes: AnswerTotals = field(default_factory=AnswerTotals)
     events: QuotaEvents = field(default_factory=lambda: QuotaEvents([], [], []))
 
     def record_quota_event(self, customer: int, sent: bool) -> None:
+        """Records that a request was sent to a backend or refused."""
         self.events.times.append(time.monotonic())
         self.events.customers.append(customer)
         self.events.sent.append(sent)
@@ -89,7 +90,7 @@
 
 @dataclass(slots=True)
 class GatewayFigures:
-    """What one gateway did; it goes on over the gateway's restarts."""
+    """Counts of one gateway, continued over its restarts."""
 
     requests: int = 0
     served: int = 0
@@ -99,9 +100,10 @@
     list_calls: int = 0
     counter_meter: ByteMeter = field(default_factory=ByteMeter)
     list_meter: ByteMeter = field(default_factory=ByteMeter)
-    lists_received: list[tuple[int, float]] = field(default_factory=list)  # generation, and when it was told
+    lists_received: list[tuple[int, float]] = field(default_factory=list)  # generation, time
 
     def counts(self) -> GatewayCounts:
+        """The present counts as a part of a report."""
         return GatewayCounts(
             self.requests, self.served, self.refused, self.failed, self.counter_calls,
             self.counter_meter.bytes_out, self.counter_meter.bytes_in, self.list_calls,
@@ -109,12 +111,12 @@
 
 
 class CountingDiscovery(Discovery):
-    """The list client, with its calls counted; it tells each list at one go, as one measure."""
+    """The list client with its calls counted; it passes each list on in one step, so that it can be timed."""
 
-    on_list_call: Callable[[], None]
+    on_list_call: Callable[[], None]  # called before each call of the list service
 
     async def deliver(self, listing: Listing) -> None:
-        """Tells the gateway."""
+        """Passes a list on to the gateway."""
         self.feed.on_list(listing)
 
     async def call(self) -> Listing:
@@ -130,13 +132,13 @@
     service_seconds: float
     sent: bool = False
     attempts: int = 0
-    end_timer: asyncio.TimerHandle | None = None  # of the attempt that is out
+    end_timer: asyncio.TimerHandle | None = None  # of the attempt in flight
     backend: str = ""
     sent_at: float = 0.0
 
 
 class HollowGateway:
-    """One gateway from a start to its end; a restart makes another."""
+    """One gateway from its start to its end; a restart creates another."""
 
     def __init__(
         self, number: int, deployment: Deployment, directories: Sequence[Address], counter: Address,
@@ -159,33 +161,34 @@
         self.handling = self.closed = False
         self.list_calls_until_first_list = self.bytes_until_first_list = 0
         self.initial_list_bytes = figures.list_meter.bytes_in
-        self.first_list_at = 0.0  # when it had its first list
+        self.first_list_at = 0.0  # monotonic; 0 before the first list
 
     def start(self) -> None:
+        """Connects to the list service and the counter."""
         self.process.starts += 1
         self.counter = self.make_counter()
         self.discovery_task = self.loop.create_task(self.discovery.run())
 
     def make_counter(self) -> CounterClient:
-        """What makes the counter calls, as in a real gateway."""
-        patience = self.deployment.counter_timeout_seconds
+        """Creates the client for counter calls: through aggregators where there are any, else direct."""
+        timeout = self.deployment.counter_timeout_seconds
         if self.aggregator_lists:
             return MeteredRouter(
-                unix_time, self.aggregator_lists, patience, DIAL_TIMEOUT_SECONDS, self.on_counter_result,
+                unix_time, self.aggregator_lists, timeout, DIAL_TIMEOUT_SECONDS, self.on_counter_result,
                 AGGREGATOR_CONNECTIONS, self.seed, self.deployment.size.gateways,
                 meter=self.figures.counter_meter)
         counter = Counter(
-            unix_time, self.counter_address, patience, DIAL_TIMEOUT_SECONDS, self.on_counter_result)
+            unix_time, self.counter_address, timeout, DIAL_TIMEOUT_SECONDS, self.on_counter_result)
         counter.loop = metered_loop(self.figures.counter_meter)
         return counter
 
     def is_ready(self) -> bool:
-        """Whether it has its list, and the list of aggregators where there are any."""
+        """Whether it has received its list, and the list of aggregators where there are any."""
         knows_aggregators = not isinstance(self.counter, MeteredRouter) or bool(self.counter.members)
         return bool(self.first_list_at) and knows_aggregators
 
     def close(self) -> None:
-        """Ends at once, as a process that is killed does."""
+        """Ends immediately, like a killed process."""
         self.closed = True
         if self.discovery_task is not None:
             self.discovery_task.cancel()
@@ -195,16 +198,17 @@
 
     # events
 
-    def on_request(self, drawn: GeneratedRequest) -> None:
-        """A client's request arrives."""
+    def on_request(self, generated: GeneratedRequest) -> None:
+        """Handles a request that arrives from a client."""
         self.request_count += 1
         self.figures.requests += 1
-        self.open_requests[self.request_count] = OpenRequest(drawn.customer, drawn.service_seconds)
-        plan = self.deployment.plan_of(drawn.customer)
+        self.open_requests[self.request_count] = OpenRequest(
+            generated.customer, generated.service_seconds)
+        plan = self.deployment.plan_of(generated.customer)
         self.post(Request(
-            self.request_count, drawn.request_class, plan.name, customer_name(drawn.customer),
+            self.request_count, generated.request_class, plan.name, customer_name(generated.customer),
             unix_time() + BUDGET_SECONDS - DEADLINE_MARGIN, 1.0, self.deployment.size.spread,
-            int(self.deployment.first_gateways[drawn.customer]), False))
+            int(self.deployment.first_gateways[generated.customer]), False))
 
     def on_list_call(self) -> None:
         self.figures.list_calls += 1
@@ -212,33 +216,35 @@
             self.list_calls_until_first_list += 1
 
     def on_list(self, listing: Listing) -> None:
+        """Passes a list to the decision module; adds its time to that of parsing it."""
         if self.closed:
             return
         if not self.first_list_at:
             self.first_list_at = time.monotonic()
             self.bytes_until_first_list = self.figures.list_meter.bytes_in - self.initial_list_bytes
-        began = time.thread_time()
+        started_at = time.thread_time()
         self.post(BackendList(listing.kind, tuple(entry.backend for entry in listing.entries)))
-        seconds = time.thread_time() - began
+        seconds = time.thread_time() - started_at
         if listing.is_full or listing.entries:
-            tally = self.process.full_lists if listing.is_full else self.process.changes
-            tally.number += 1
-            tally.bytes += self.process.list_reader.last_answer.bytes
-            tally.seconds += seconds + self.process.list_reader.last_answer.seconds
+            totals = self.process.full_lists if listing.is_full else self.process.changes
+            totals.number += 1
+            totals.bytes += self.process.list_reader.last_answer.bytes
+            totals.seconds += seconds + self.process.list_reader.last_answer.seconds
         self.figures.lists_received.append((listing.generation, time.monotonic()))
 
-    def on_counter_result(self, counted: CounterCallEnded) -> None:
-        self.post(counted)
+    def on_counter_result(self, result: CounterCallEnded) -> None:
+        self.post(result)
 
     def on_timer(self, key: str, due: float) -> None:
-        self.post(TimerExpired(key), due)  # the loop may be early by less than a millisecond
+        self.post(TimerExpired(key), due)  # `due`, as the loop may be early by less than a millisecond
 
     def on_service_ended(self, request: int, outcome: Outcome) -> None:
+        """Ends the attempt in flight of a request."""
         pending = self.open_requests.get(request)
         if pending is None:
             return
         pending.end_timer = None
-        answered = outcome is Outcome.SERVED  # the client has its answer before the module hears of it
+        answered = outcome is Outcome.SERVED  # the client has its answer before the module is notified
         if answered:
             self.figures.served += 1
             del self.open_requests[request]
@@ -249,7 +255,10 @@
     # the decision module
 
     def post(self, event: Event, due: float = 0.0) -> None:
-        """Hands an event to the module; one that an action causes waits until all actions are done."""
+        """Passes an event to the decision module, after the actions of the event that is being handled.
+
+        `due` is the earliest time, in Unix time, that the module is given as now.
+        """
         if self.closed:
             return
         self.pending_events.append((event, due))
@@ -263,15 +272,16 @@
             self.handling = False
 
     def handle(self, event: Event, due: float) -> None:
+        """Lets the decision module handle an event, and performs its actions."""
         now = max(unix_time(), due)
-        began = time.thread_time()
+        started_at = time.thread_time()
         actions = self.gateway.handle(event, now)
-        self.process.module_seconds += time.thread_time() - began
+        self.process.module_seconds += time.thread_time() - started_at
         for action in actions:
             self.perform(action)
 
     def perform(self, action: Action) -> None:
-        """Carries out an action; those that concern sockets to backends have no effect here."""
+        """Performs an action; actions that concern connections to backends have no effect here."""
         match action:
             case Send():
                 self.send(action)
@@ -290,6 +300,7 @@
                 self.cancel(action.request)
 
     def send(self, action: Send) -> None:
+        """Starts an attempt, which ends after its service time or its timeout."""
         pending = self.open_requests.get(action.request)
         if pending is None:
             return
@@ -320,17 +331,20 @@
             self.figures.failed += 1
 
 
-
 class RequestSource:
-    """Poisson arrivals at one gateway, on the loop's clock; late ones are made up for at once."""
+    """Generates requests at one gateway with Poisson arrivals, timed by the loop's clock.
+
+    Arrivals that are late are made up for without delay, so that the rate is kept.
+    """
 
     def __init__(
-        self, deployment: Deployment, number: int, seed: int, arrive: Callable[[GeneratedRequest], None]
+        self, deployment: Deployment, number: int, seed: int,
+        on_arrival: Callable[[GeneratedRequest], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.load = deployment.load_of(number)
         self.rng = random.Random(seed)
-        self.on_arrival = arrive
+        self.on_arrival = on_arrival
         self.next_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
--- a/embersill/lab/scale/play.py
+++ b/embersill/lab/scale/play.py
@@ -1,4 +1,8 @@
-"""One play of one point: starts all roles, measures them, and gives a Play record."""
+"""Runs one play, which is one measurement of one fleet size on an axis.
+
+Starts the processes of all roles, loads and measures them, and returns a Play record. Times are seconds and
+moments are on the monotonic clock, unless said otherwise.
+"""
 
 from __future__ import annotations
 
@@ -34,30 +38,31 @@
 from embersill.lab.scale.records import Play
 
 ANSWER_TIMEOUT_SECONDS = 10.0
-MIN_LIST_UPDATE_WAIT_SECONDS = 0.2  # until the service has begun to tell them
+MIN_LIST_UPDATE_WAIT_SECONDS = 0.2  # for the list service to start sending the last changes
 WATCHERS_POLL_SECONDS = 0.1
 REPLICATION_POLL_SECONDS = 0.05
-MIN_CUSTOMERS_PER_GATEWAY = 100  # at a gateway, from which their memory stands out from the rest of its growth
-RESTART_AT_SHARE = 0.25  # of the measured time, at which gateways restart
-KILL_AT_SHARE = 0.1  # of the measured time, at which aggregators are killed
-MAX_MEMORY_SHARE = 0.5  # of the machine's, that a play may use
+# With fewer, the memory of customers does not stand out from the other growth of a gateway.
+MIN_CUSTOMERS_PER_GATEWAY = 100
+RESTART_AT_SHARE = 0.25  # of the measured time, after which gateways restart
+KILL_AT_SHARE = 0.1  # of the measured time, after which aggregators are killed
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory, for all processes of a play
 MEMORY_POLL_SECONDS = 0.5
-MICROSECONDS = 1e6
+MICROSECONDS = 1e6  # per second
 MAX_ADDED_US = 60_000_000
 
 
 class MemoryLimitExceeded(ChildFailed):
-    """The play's processes use more than their part of the machine's memory."""
+    """The play's processes use more than MAX_MEMORY_SHARE of the machine's memory."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlayResult:
-    """The record of a play, and the figures of each gateway that it was made from."""
+    """The record of a play, and the counts of each gateway that it was computed from."""
 
     play: Play
     hollow: list[GatewayCounts]
     real: list[GatewayCounts]
-    given_up: dict[str, int]  # requests that hollow gateways' modules ended themselves, by reason
+    given_up: dict[str, int]  # requests that hollow gateways refused or failed themselves, by reason
 
 
 @dataclass(slots=True)
@@ -74,17 +79,17 @@
     aggregator_list: Child | None = None
 
     def live_aggregators(self) -> list[Aggregator]:
-        """Those that were not killed."""
+        """The aggregators that the play has not killed."""
         return [aggregator for aggregator in self.aggregators if not aggregator.child.killed]
 
     def commanded(self) -> list[Child]:
-        """Those that take orders during the play."""
+        """The processes that receive commands during the play."""
         return [*self.workers, *([self.clients] if self.clients else [])]
 
 
 @dataclass(frozen=True, slots=True)
 class AggregatorSnapshot:
-    """The figures of one aggregator at one moment."""
+    """Resource usage and counts of one aggregator at one moment."""
 
     usage: Usage
     figures: AggregatorFigures
@@ -92,9 +97,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The figures of the peers at one moment."""
+    """Resource usage and counts of all peers of the gateways at one moment."""
 
-    at: float
+    at: float  # monotonic
     leader: Usage
     follower: Usage
     counter: Usage
@@ -105,7 +110,7 @@
 
 
 class PlayRun:
-    """One play from its start to its record."""
+    """One play from the start of its processes to its record."""
 
     def __init__(
         self, plan: PlayPlan, folder: pathlib.Path, children: Children, session: aiohttp.ClientSession
@@ -114,7 +119,7 @@
         self.deployment = Deployment(plan.size, plan.seed)
         self.rng = random.Random(f"{plan.seed} play")
         self.roles = Roles()
-        # far apart, so that real ones share as few customers as may be
+        # evenly spaced, so that real gateways share as few customers as possible
         real = [n * plan.size.gateways // plan.real_gateways for n in range(plan.real_gateways)]
         self.hollow_gateways = [n for n in range(plan.size.gateways) if n not in real]
         self.leader_address = f"{HOST}:{free_port()}"
@@ -128,6 +133,7 @@
         self.restarted_at = self.killed_at = 0.0
 
     async def run(self) -> PlayResult:
+        """Runs all steps of the play. Raises ChildFailed, or ChildNotStarted while processes start."""
         await self.start_peers()
         await self.start_gateways()
         self.children.starting = False
@@ -135,16 +141,17 @@
         await asyncio.sleep(self.plan.warm_up_seconds)
         before = await self.snapshot()
         await self.send_to_all(BeginMeasuring())
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self.run_measured_time()
         after = await self.snapshot()
         await self.send_to_all(EndMeasuring())
         await self.wait_for_watchers()
-        return await self.collect(before, after, began)
+        return await self.collect(before, after, started_at)
 
-    # start
+    # starting the processes
 
     async def start_peers(self) -> None:
+        """Starts the counter, the list service and the aggregators, and waits until they are ready."""
         size = self.size
         write_list(self.folder / "list", size.backends, f"{HOST}:{self.backend_port}")
         roles, children = self.roles, self.children
@@ -164,7 +171,7 @@
             await self.start_aggregator_peers()
 
     async def start_aggregator_peers(self) -> None:
-        """The aggregators, and a list service of their own in which they register."""
+        """Starts the aggregators, and the list service in which only they register."""
         roles, port = self.roles, int(self.aggregator_list.rpartition(":")[2])
         roles.aggregator_list = await start_list_service(
             self.children, self.folder / "aggregators", port, self.size.gateways, name="aggregator-list")
@@ -173,45 +180,50 @@
             self.children, self.deployment, self.counter_address, self.aggregator_list)
 
     async def start_gateway_hosts(self) -> None:
-        """Processes that wait for their task: they load their modules while the peers start."""
-        for place in range(min(self.plan.workers, len(self.hollow_gateways))):
+        """Starts the processes that host gateways and clients.
+
+        They load their modules while the peers start, and then wait for their tasks.
+        """
+        for index in range(min(self.plan.workers, len(self.hollow_gateways))):
             self.roles.workers.append(
-                await self.children.start_module(f"worker-{place}", "embersill.lab.scale.worker"))
+                await self.children.start_module(f"worker-{index}", "embersill.lab.scale.worker"))
         if self.ports:
             self.roles.clients = await self.children.start_module(
                 "clients", "embersill.lab.scale.clients_process")
 
     async def wait_listening(self, child: Child) -> None:
+        """Waits until a process accepts connections. Raises ChildNotStarted."""
         try:
             await child.receive(Listening, PEER_START_TIMEOUT_SECONDS)
         except ChildFailed as error:
             raise ChildNotStarted(f"{child.name} did not start: {error}") from None
 
     async def wait_for_replication(self) -> None:
-        """Waits until the follower has the leader's list."""
+        """Waits until the follower of the list service has the leader's list."""
         generation = (await self.writer.status(self.leader_address)).generation
         while (await self.writer.status(self.follower_address)).generation < generation:
             await asyncio.sleep(REPLICATION_POLL_SECONDS)
 
     async def start_gateways(self) -> None:
-        """Hollow gateways at a bounded pace, as each asks for the whole list; real ones meanwhile."""
+        """Starts hollow gateways at a bounded rate, as each requests the full list; real ones meanwhile."""
         aggregator_lists = [self.aggregator_list] if self.aggregator_list else []
         workers = len(self.roles.workers)
-        for place, child in enumerate(self.roles.workers):
-            mine = self.hollow_gateways[place::workers]
+        for index, child in enumerate(self.roles.workers):
+            assigned = self.hollow_gateways[index::workers]
             child.send(WorkerTask(
-                self.size, self.plan.seed, mine, [self.leader_address, self.follower_address],
+                self.size, self.plan.seed, assigned, [self.leader_address, self.follower_address],
                 self.counter_address, aggregator_lists, STARTS_PER_SECOND / workers))
         if self.roles.clients is not None:
             await self.start_real_gateways(self.roles.clients, self.counter_address)
-        within = PEER_START_TIMEOUT_SECONDS + 3 * self.size.gateways / STARTS_PER_SECOND
+        timeout = PEER_START_TIMEOUT_SECONDS + 3 * self.size.gateways / STARTS_PER_SECOND
         for worker in self.roles.workers:
             try:
-                self.ready_reports.append(await worker.receive(GatewaysReady, within))
+                self.ready_reports.append(await worker.receive(GatewaysReady, timeout))
             except ChildFailed as error:
                 raise ChildNotStarted(f"{worker.name} did not get ready: {error}") from None
 
     async def start_real_gateways(self, clients: Child, counter: str) -> None:
+        """Starts the clients and relays of the real gateways, then these, and waits until they are ready."""
         directories = [self.leader_address, self.follower_address]
         clients.send(ClientsTask(
             self.size, self.plan.seed, self.backend_port, directories, counter, self.ports))
@@ -223,17 +235,18 @@
         for child, ports in zip(self.roles.gateways, self.ports, strict=True):
             await wait_ready(child, ports, PEER_START_TIMEOUT_SECONDS)
 
-    # the measured time
+    # measuring
 
-    async def send_to_all(self, order: Message) -> None:
-        """Gives an order to all at once, and waits until each has carried it out."""
-        speaking = self.roles.commanded()
-        for child in speaking:
-            child.send(order)
-        for child in speaking:
+    async def send_to_all(self, command: Message) -> None:
+        """Sends a command to all commanded processes, and waits until each has carried it out."""
+        commanded = self.roles.commanded()
+        for child in commanded:
+            child.send(command)
+        for child in commanded:
             await child.receive(Done, ANSWER_TIMEOUT_SECONDS)
 
     async def run_measured_time(self) -> None:
+        """Writes list changes for the measured time; restarts and kills what the size says."""
         plan = self.plan
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.writer.write_for(plan.seconds, self.size.changes_per_second))
@@ -244,32 +257,35 @@
                 tasks.create_task(self.kill_aggregators())
 
     async def kill_aggregators(self) -> None:
-        """Kills some at once; of the last it is measured when its customers' calls are answered again."""
+        """Kills aggregators chosen at random at the same time.
+
+        The workers measure the failover of the last one: when calls for its customers are answered again.
+        """
         await asyncio.sleep(KILL_AT_SHARE * self.plan.seconds)
-        drawn = self.rng.sample(self.roles.aggregators, self.size.aggregators_killed)
+        chosen = self.rng.sample(self.roles.aggregators, self.size.aggregators_killed)
         self.killed_at = time.monotonic()
-        for aggregator in drawn:
+        for aggregator in chosen:
             await self.children.kill(aggregator.child)
         for worker in self.roles.workers:
-            worker.send(WatchFailover(drawn[-1].name))
+            worker.send(WatchFailover(chosen[-1].name))
         for worker in self.roles.workers:
             await worker.receive(Done, ANSWER_TIMEOUT_SECONDS)
 
     async def restart_gateways(self) -> None:
-        """Restarts a part of the hollow gateways, drawn anew for each play."""
+        """Restarts a share of the hollow gateways, chosen at random for each play."""
         await asyncio.sleep(RESTART_AT_SHARE * self.plan.seconds)
-        many = max(1, round(self.size.restarted_share * len(self.hollow_gateways)))
-        drawn = self.rng.sample(self.hollow_gateways, many)
+        count = max(1, round(self.size.restarted_share * len(self.hollow_gateways)))
+        chosen = self.rng.sample(self.hollow_gateways, count)
         self.restarted_at = time.monotonic()
         for worker in self.roles.workers:
-            worker.send(Restart(drawn))
+            worker.send(Restart(chosen))
         for worker in self.roles.workers:
             await worker.receive(Done, ANSWER_TIMEOUT_SECONDS)
 
     async def wait_for_watchers(self) -> None:
-        """Until all gateways watch again, at the most for as long as a restart may take."""
-        patience = RESTART_TIMEOUT_SECONDS if self.size.restarted_share > 0 else LIST_UPDATE_TIMEOUT_SECONDS
-        until = time.monotonic() + patience
+        """Waits until all gateways watch the list again, at most as long as a restart may take."""
+        timeout = RESTART_TIMEOUT_SECONDS if self.size.restarted_share > 0 else LIST_UPDATE_TIMEOUT_SECONDS
+        until = time.monotonic() + timeout
         await asyncio.sleep(MIN_LIST_UPDATE_WAIT_SECONDS)
         while time.monotonic() < until:
             if (await self.writer.status(self.leader_address)).watchers >= self.size.gateways:
@@ -277,32 +293,34 @@
             await asyncio.sleep(WATCHERS_POLL_SECONDS)
 
     async def snapshot(self) -> Snapshot:
+        """Reads the usage and counts of all peers."""
         leader, follower, counter = self.roles.leader, self.roles.follower, self.roles.counter
         assert leader is not None and follower is not None and counter is not None
-        counted = await counter.ask(ReadFigures(), CounterFigures, ANSWER_TIMEOUT_SECONDS)
+        counter_figures = await counter.ask(ReadFigures(), CounterFigures, ANSWER_TIMEOUT_SECONDS)
         return Snapshot(
             time.monotonic(), leader.usage(), follower.usage(), counter.usage(),
             await self.aggregator_snapshots(),
             await self.writer.status(self.leader_address), await self.writer.status(self.follower_address),
-            counted)
+            counter_figures)
 
     async def aggregator_snapshots(self) -> dict[str, AggregatorSnapshot]:
         return {
             aggregator.name: AggregatorSnapshot(aggregator.child.usage(), await read_figures(aggregator))
             for aggregator in self.roles.live_aggregators()}
 
-    # the record
+    # recording
 
-    async def collect(self, before: Snapshot, after: Snapshot, began: float) -> PlayResult:
-        writes = [write for write in self.writer.writes if write.answered_at >= began]
-        order = Collect([write.generation for write in writes])
-        reports = [await w.ask(order, WorkerReport, ANSWER_TIMEOUT_SECONDS) for w in self.roles.workers]
+    async def collect(self, before: Snapshot, after: Snapshot, started_at: float) -> PlayResult:
+        """Collects the reports of all processes and computes the record from them."""
+        writes = [write for write in self.writer.writes if write.answered_at >= started_at]
+        command = Collect([write.generation for write in writes])
+        reports = [await w.ask(command, WorkerReport, ANSWER_TIMEOUT_SECONDS) for w in self.roles.workers]
         clients = None
         if self.roles.clients is not None:
-            clients = await self.roles.clients.ask(order, ClientsReport, ANSWER_TIMEOUT_SECONDS)
+            clients = await self.roles.clients.ask(command, ClientsReport, ANSWER_TIMEOUT_SECONDS)
         figures = PlayFigures(
-            self.plan, self.deployment, self.ready_reports, reports, clients, before, after, began, writes,
-            self.restarted_at, self.killed_at)
+            self.plan, self.deployment, self.ready_reports, reports, clients, before, after, started_at,
+            writes, self.restarted_at, self.killed_at)
         plan = self.plan
         play = Play(
             plan.axis, plan.value, plan.number, plan.seed, plan.size, plan.seconds, figures.counts(),
@@ -315,7 +333,7 @@
 
 @dataclass(slots=True)
 class PlayFigures:
-    """Turns what the processes report into the record's measures."""
+    """Computes the measures of the record from the reports of the processes."""
 
     plan: PlayPlan
     deployment: Deployment
@@ -324,42 +342,47 @@
     clients: ClientsReport | None
     before: Snapshot
     after: Snapshot
-    started_at: float
+    started_at: float  # of the measured time
     writes: Sequence[Write]
-    restarted_at: float
-    killed_at: float
+    restarted_at: float  # 0 where no gateway was restarted
+    killed_at: float  # 0 where no aggregator was killed
 
     @property
     def hollow(self) -> list[GatewayCounts]:
+        """Counts of each hollow gateway in the measured time."""
         return [counts for report in self.reports for counts in report.counts]
 
     @property
     def seconds(self) -> float:
+        """Time between the snapshots of the peers."""
         return self.after.at - self.before.at
 
     def per_gateway(self, name: str) -> float:
-        """Mean over hollow gateways, a second."""
+        """Mean of a count per second and hollow gateway."""
         return sum_figure(self.hollow, name) / self.hollow_seconds
 
     @property
     def hollow_seconds(self) -> float:
-        """Measured time of all hollow gateways together."""
+        """Sum of the measured times of all hollow gateways."""
         return sum(report.seconds * len(report.counts) for report in self.reports)
 
     def list_bytes_per_second(self, before: ServiceFigures, after: ServiceFigures) -> float:
-        told = after.figures.get("bytes told", 0) - before.figures.get("bytes told", 0)
-        return told / self.seconds
+        """Bytes per second that one replica of the list service sent."""
+        sent = after.figures.get("bytes told", 0) - before.figures.get("bytes told", 0)
+        return sent / self.seconds
 
     def list_answers(self, kind: str) -> ListAnswers:
-        """Answers of the list service over all workers."""
+        """Answers of the list service of one kind, a field of WorkerReport, summed over all workers."""
         found: list[ListAnswers] = [getattr(report, kind) for report in self.reports]
         return ListAnswers(
             sum(a.number for a in found), sum(a.bytes for a in found), sum(a.seconds for a in found))
 
     def customers(self) -> int:
+        """Customers that hollow gateways store state for, counted at each gateway."""
         return sum(sum(report.customers) for report in self.reports)
 
     def counts(self) -> dict[str, float]:
+        """Measures that do not depend on the speed of the machine, by their names in the record."""
         before, after = self.before, self.after
         calls = after.counter_figures.calls - before.counter_figures.calls
         starts = sum(report.starts for report in self.reports)
@@ -375,7 +398,8 @@
             "list_bytes_out_per_gateway": self.per_gateway("list_bytes_out"),
             "list_bytes_in_per_gateway": self.per_gateway("list_bytes_in"),
             "list_bytes_out_leader": self.list_bytes_per_second(before.leader_figures, after.leader_figures),
-            "list_bytes_out_follower": self.list_bytes_per_second(before.follower_figures, after.follower_figures),
+            "list_bytes_out_follower": self.list_bytes_per_second(
+                before.follower_figures, after.follower_figures),
             "customers_per_gateway": self.customers() / len(self.hollow),
             "whole_lists_per_start": self.list_answers("whole_lists").number / starts,
         }
@@ -385,6 +409,7 @@
         return found
 
     def list_answer_bytes(self) -> dict[str, float]:
+        """Mean bytes of a full list and of a change, where there were any."""
         found = {}
         for kind, name in (("whole_lists", "whole_list_bytes"), ("changes", "change_bytes")):
             answers = self.list_answers(kind)
@@ -393,7 +418,7 @@
         return found
 
     def quota_shares(self) -> dict[str, float]:
-        """Refusals and quotas over the whole fleet, real gateways included."""
+        """Shares of refused and over-quota requests in the fleet, real gateways included."""
         logs = [report.events for report in self.reports]
         if self.clients is not None:
             logs.append(self.clients.events)
@@ -407,21 +432,24 @@
         }
 
     def restart_counts(self) -> dict[str, float]:
+        """Calls and bytes that restarted gateways needed until they had their list."""
         restarts = [report.restart for report in self.reports]
-        told = sum(r.gateways - r.untold for r in restarts)
+        listed = sum(r.gateways - r.untold for r in restarts)
         found = {"restart_list_calls_fleet": float(sum(r.list_calls for r in restarts))}
-        if told:
-            found["restart_bytes_per_gateway"] = sum(r.list_bytes_in for r in restarts) / told
+        if listed:
+            found["restart_bytes_per_gateway"] = sum(r.list_bytes_in for r in restarts) / listed
         return found
 
     def times(self) -> dict[str, float]:
+        """Measures of time and memory, which depend on the machine, by their names in the record."""
         module = sum(report.module_seconds for report in self.reports)
         process = sum(report.process_seconds for report in self.reports)
         requests = sum_figure(self.hollow, "requests")
         found = {
             "module_cpu_share": module / self.hollow_seconds,
             "control_cpu_share": (process - module) / self.hollow_seconds,
-            **self.peer_times(), **self.list_answer_times(), **self.memory(), **self.list_update_times(), **self.added_latency(),
+            **self.peer_times(), **self.list_answer_times(), **self.memory(), **self.list_update_times(),
+            **self.added_latency(),
         }
         if requests:
             found["module_us_per_request"] = MICROSECONDS * module / requests
@@ -431,6 +459,7 @@
         return found
 
     def peer_times(self) -> dict[str, float]:
+        """Processor time and memory of the peers and the aggregators."""
         pairs = {
             "directory_leader": (self.before.leader, self.after.leader),
             "directory_follower": (self.before.follower, self.after.follower),
@@ -443,11 +472,11 @@
         return found | self.aggregator_times()
 
     def aggregator_pairs(self) -> list[tuple[AggregatorSnapshot, AggregatorSnapshot]]:
-        """Before and after, of the aggregators that live at the end."""
+        """Snapshots before and after, of the aggregators that still run at the end."""
         return [(self.before.aggregators[name], after) for name, after in self.after.aggregators.items()]
 
     def aggregator_counts(self) -> dict[str, float]:
-        """Sums over aggregators."""
+        """Calls per second and the share of rejected calls, summed over aggregators."""
         pairs = [(before.figures, after.figures) for before, after in self.aggregator_pairs()]
         if not pairs:
             return {}
@@ -460,12 +489,16 @@
         }
 
     def failover_counts(self) -> dict[str, float]:
+        """Gateways that had calls for customers of the killed aggregator answered again."""
         if not self.killed_at:
             return {}
         return {"failover_gateways": float(sum(len(r.failover.answered_at) for r in self.reports))}
 
     def failover_times(self) -> dict[str, float]:
-        """Seconds from an aggregator's end until gateways knew it, and had its customers' calls answered."""
+        """Seconds from an aggregator's end until gateways removed it, and until its calls were answered.
+
+        The second element of each pair is a field of FailoverFigures.
+        """
         found: dict[str, float] = {}
         for name, kind in (("failover_known", "left_at"), ("failover_answered", "answered_at")):
             took = [at - self.killed_at for r in self.reports for at in getattr(r.failover, kind)]
@@ -486,6 +519,7 @@
         }
 
     def list_answer_times(self) -> dict[str, float]:
+        """Mean processor time of a gateway for a full list and for a change, in milliseconds."""
         found = {}
         for kind, name in (("whole_lists", "whole_list_ms"), ("changes", "change_ms")):
             answers = self.list_answers(kind)
@@ -494,7 +528,7 @@
         return found
 
     def memory(self) -> dict[str, float]:
-        """Growth of the processes that host hollow gateways, shared evenly by what they host."""
+        """Memory growth of the worker processes, divided evenly by gateways, backends and customers there."""
         gateways = len(self.hollow)
         loaded = sum(report.memory_loaded for report in self.reports)
         before = sum(ready.memory_before for ready in self.ready_reports)
@@ -509,18 +543,22 @@
         return found
 
     def list_update_times(self) -> dict[str, float]:
-        """From a write's answer to the last hollow gateway told of it, for writes that all were told of."""
+        """Milliseconds from a write's answer until the last hollow gateway received the change.
+
+        Writes that some gateway did not receive are left out.
+        """
         took = []
-        for place, write in enumerate(self.writes):
-            told = [report.news[place] for report in self.reports]
-            heard = [at for at in told if at is not None]
-            if len(heard) == len(told):
-                took.append(1000.0 * max(max(heard) - write.answered_at, 0.0))
+        for index, write in enumerate(self.writes):
+            last_times = [report.news[index] for report in self.reports]
+            received = [at for at in last_times if at is not None]
+            if len(received) == len(last_times):
+                took.append(1000.0 * max(max(received) - write.answered_at, 0.0))
         if not took:
             return {}
         return {"news_last_ms": statistics.median(took), "news_longest_ms": max(took)}
 
     def added_latency(self) -> dict[str, float]:
+        """Percentiles of the latency that real gateways add, in milliseconds."""
         if self.clients is None or not self.clients.added_ms:
             return {}
         histogram = HdrHistogram(1, MAX_ADDED_US, 3)
@@ -532,24 +570,30 @@
 
 
 def ratio(part: float, whole: float) -> float:
+    """part / whole; 0 where the whole is 0."""
     return part / whole if whole else 0.0
 
 
 async def watch_memory(children: Children) -> None:
-    """Ends with TooMuchMemory once the play's processes use more than their part."""
-    most = MAX_MEMORY_SHARE * machine_memory()
+    """Raises MemoryLimitExceeded once the play's processes use more than MAX_MEMORY_SHARE."""
+    max_bytes = MAX_MEMORY_SHARE * machine_memory()
     while True:
         try:
             used = children.memory_bytes()
         except ChildFailed:
-            used = 0  # its end is told by another
-        if used > most:
-            raise MemoryLimitExceeded(f"the play uses {used / 2**30:.1f} GB, over half of the machine's memory")
+            used = 0  # run_unless_child_ends reports the end of a process
+        if used > max_bytes:
+            raise MemoryLimitExceeded(
+                f"the play uses {used / 2**30:.1f} GB, over half of the machine's memory")
         await asyncio.sleep(MEMORY_POLL_SECONDS)
 
 
 async def run_play(plan: PlayPlan, folder: pathlib.Path) -> PlayResult:
-    """ChildFailed, or its kinds, where a process does not start, ends or does not answer."""
+    """Runs a play with its logs and data in a folder.
+
+    Raises ChildFailed or a subclass where a process does not start, ends early, does not answer or where
+    the processes use too much memory.
+    """
     timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_SECONDS)
     async with Children(folder) as children, aiohttp.ClientSession(timeout=timeout) as session:
         run = PlayRun(plan, folder, children, session)
@@ -557,6 +601,7 @@
 
 
 async def run_within_memory(run: PlayRun, children: Children) -> PlayResult:
+    """Runs the play, and cancels it where it uses too much memory. Raises MemoryLimitExceeded."""
     playing, watching = asyncio.create_task(run.run()), asyncio.create_task(watch_memory(children))
     try:
         await asyncio.wait({playing, watching}, return_when=asyncio.FIRST_COMPLETED)
--- a/embersill/lab/scale/worker.py
+++ b/embersill/lab/scale/worker.py
@@ -1,6 +1,8 @@
-"""A process that hosts many hollow gateways: python -m embersill.lab.scale.worker, as a child of the command.
+"""A process that hosts many hollow gateways, a child of the scale command.
 
-It obeys orders on its standard input and ends with it.
+    python -m embersill.lab.scale.worker
+
+It carries out the commands on its standard input, and exits at the end of it.
 """
 
 from __future__ import annotations
@@ -33,16 +35,16 @@
 
 @dataclass(slots=True)
 class WorkerSnapshot:
-    """Figures at a moment, of which differences are taken."""
+    """Counts and times at one moment; the report holds the difference of two."""
 
     at: float  # monotonic
     counts: list[GatewayCounts]
-    module_seconds: float
-    process_seconds: float
+    module_seconds: float  # CPU time in the decision module
+    process_seconds: float  # CPU time of the whole process
 
 
 class Worker:
-    """The gateways of one process."""
+    """Hosts the hollow gateways of one process, and reports what they did."""
 
     def __init__(self, task: WorkerTask) -> None:
         self.task = task
@@ -58,145 +60,160 @@
         self.memory_created = self.memory_listed = 0
 
     async def start_gateways(self) -> None:
-        """Starts them at the task's pace, and waits until each has its list."""
-        self.gateways = [self.make_gateway(place) for place in range(len(self.task.gateways))]
+        """Starts the gateways at the task's rate, and waits until each has its list."""
+        self.gateways = [self.make_gateway(index) for index in range(len(self.task.gateways))]
         self.sources = [
-            RequestSource(self.deployment, number, self.rng.getrandbits(32), self.arrival_handler(place))
-            for place, number in enumerate(self.task.gateways)]
+            RequestSource(self.deployment, number, self.rng.getrandbits(32), self.arrival_handler(index))
+            for index, number in enumerate(self.task.gateways)]
         gc.collect()
         self.memory_created = own_memory()
-        for made in self.gateways:
-            made.start()
+        for gateway in self.gateways:
+            gateway.start()
             await asyncio.sleep(1.0 / self.task.starts_per_second)
-        while not all(made.is_ready() for made in self.gateways):
+        while not all(gateway.is_ready() for gateway in self.gateways):
             await asyncio.sleep(READY_POLL_SECONDS)
         gc.collect()
         gc.freeze()  # as a gateway does after its start
         self.memory_listed = own_memory()
 
-    def make_gateway(self, place: int) -> HollowGateway:
+    def make_gateway(self, index: int) -> HollowGateway:
+        """Creates the gateway at an index of the task's gateways; its counts continue over restarts."""
         task = self.task
         return HollowGateway(
-            task.gateways[place], self.deployment, [read_address(a) for a in task.directories],
-            read_address(task.counter), self.rng.getrandbits(62), self.gateway_figures[place], self.process,
+            task.gateways[index], self.deployment, [read_address(a) for a in task.directories],
+            read_address(task.counter), self.rng.getrandbits(62), self.gateway_figures[index], self.process,
             [read_address(a) for a in task.aggregator_lists])
 
-    def arrival_handler(self, place: int) -> ArrivalHandler:
-        return ArrivalHandler(self, place)
+    def arrival_handler(self, index: int) -> ArrivalHandler:
+        """What a request source calls with the requests for the gateway at this index."""
+        return ArrivalHandler(self, index)
 
     def begin_load(self) -> None:
         for source in self.sources:
             source.start()
 
     def restart(self, numbers: list[int]) -> None:
-        """All of them at the same time; requests go on to come."""
+        """Kills and restarts these gateways at the same time; requests go on arriving."""
         wanted = set(numbers)
-        places = [place for place, number in enumerate(self.task.gateways) if number in wanted]
-        for place in places:
-            self.gateways[place].close()
-        for place in places:
-            self.gateways[place] = self.make_gateway(place)
-            self.restarted_gateways.append(self.gateways[place])
-            self.gateways[place].start()
+        indices = [index for index, number in enumerate(self.task.gateways) if number in wanted]
+        for index in indices:
+            self.gateways[index].close()
+        for index in indices:
+            self.gateways[index] = self.make_gateway(index)
+            self.restarted_gateways.append(self.gateways[index])
+            self.gateways[index].start()
 
     def snapshot(self) -> WorkerSnapshot:
+        """The present counts and times."""
         return WorkerSnapshot(
             time.monotonic(), [f.counts() for f in self.gateway_figures], self.process.module_seconds,
             time.process_time())
 
     def report(self, generations: list[int]) -> WorkerReport:
+        """What the gateways did in the measured time; `generations` are those of the list's writes."""
         counts = [after.since(before) for before, after in
                   zip(self.start_snapshot.counts, self.end_snapshot.counts, strict=True)]
         return WorkerReport(
-            self.end_snapshot.at - self.start_snapshot.at, counts, [len(made.gateway.throttles) for made in self.gateways],
+            self.end_snapshot.at - self.start_snapshot.at, counts,
+            [len(hollow.gateway.throttles) for hollow in self.gateways],
             self.process.starts,
             list_answers(self.process.full_lists), list_answers(self.process.changes),
             self.end_snapshot.module_seconds - self.start_snapshot.module_seconds,
             self.end_snapshot.process_seconds - self.start_snapshot.process_seconds,
-            own_memory(), [self.last_received_at(generation) for generation in generations], self.restart_figures(),
-            self.failover_figures(), self.process.events, self.given_up())
+            own_memory(), [self.last_received_at(generation) for generation in generations],
+            self.restart_figures(), self.failover_figures(), self.process.events, self.given_up())
 
     def given_up(self) -> dict[str, int]:
+        """Requests that gateways refused or failed themselves, by reason."""
         reasons = Counter[str]()
-        for made in self.gateways:
-            reasons.update(made.gateway.given_up)
+        for hollow in self.gateways:
+            reasons.update(hollow.gateway.given_up)
         return dict(reasons)
 
     def last_received_at(self, generation: int) -> float | None:
-        """When the last gateway here heard of a write, or of a later one; None if one did not."""
+        """When the last gateway here received the list of this generation or of a later one.
+
+        None where a gateway did not receive it. Monotonic time.
+        """
         last = 0.0
         for figures in self.gateway_figures:
-            at = next((at for told, at in figures.lists_received if told >= generation), None)
+            at = next((at for received, at in figures.lists_received if received >= generation), None)
             if at is None:
                 return None
             last = max(last, at)
         return last
 
     def restart_figures(self) -> RestartFigures:
-        told_ones = [made for made in self.restarted_gateways if made.first_list_at]
+        """What the restarted gateways needed until each had its list."""
+        listed = [gateway for gateway in self.restarted_gateways if gateway.first_list_at]
         return RestartFigures(
-            len(self.restarted_gateways), len(self.restarted_gateways) - len(told_ones),
-            sum(made.list_calls_until_first_list for made in self.restarted_gateways),
-            sum(made.bytes_until_first_list for made in told_ones),
-            max((made.first_list_at for made in told_ones), default=0.0))
+            len(self.restarted_gateways), len(self.restarted_gateways) - len(listed),
+            sum(gateway.list_calls_until_first_list for gateway in self.restarted_gateways),
+            sum(gateway.bytes_until_first_list for gateway in listed),
+            max((gateway.first_list_at for gateway in listed), default=0.0))
 
     def routers(self) -> list[MeteredRouter]:
-        return [made.counter for made in self.gateways if isinstance(made.counter, MeteredRouter)]
+        """The gateways' clients of aggregators; none where gateways call the counter directly."""
+        return [gateway.counter for gateway in self.gateways if isinstance(gateway.counter, MeteredRouter)]
 
     def failover_figures(self) -> FailoverFigures:
-        watches = [router.failover for router in self.routers() if router.failover is not None]
+        """Times of the failover that WatchFailover started to measure."""
+        failovers = [router.failover for router in self.routers() if router.failover is not None]
         return FailoverFigures(
-            [watch.removed_at for watch in watches if watch.removed_at],
-            [watch.answered_at for watch in watches if watch.answered_at])
+            [failover.removed_at for failover in failovers if failover.removed_at],
+            [failover.answered_at for failover in failovers if failover.answered_at])
 
-    async def handle_commands(self, orders: CommandStream) -> None:
-        while (order := await orders.read()) is not None:
-            match order:
+    async def handle_commands(self, commands: CommandStream) -> None:
+        """Carries out commands until the stream ends."""
+        while (command := await commands.read()) is not None:
+            match command:
                 case BeginLoad():
                     self.begin_load()
                 case BeginMeasuring():
                     self.start_snapshot = self.snapshot()
                 case Restart():
-                    self.restart(order.gateways)
+                    self.restart(command.gateways)
                 case WatchFailover():
                     for router in self.routers():
-                        router.watch_failover(order.aggregator)
+                        router.watch_failover(command.aggregator)
                 case EndMeasuring():
                     self.end_snapshot = self.snapshot()
                 case Collect():
-                    send_answer(self.report(order.generations))
+                    send_answer(self.report(command.generations))
                     continue
             send_answer(Done())
 
 
 @dataclass(frozen=True, slots=True)
 class ArrivalHandler:
-    """Gives a gateway's requests to the process that stands in its place now."""
+    """Passes requests to the gateway that is at an index now, as restarts replace it."""
 
     worker: Worker
     index: int
 
-    def __call__(self, drawn: GeneratedRequest) -> None:
-        self.worker.gateways[self.index].on_request(drawn)
+    def __call__(self, generated: GeneratedRequest) -> None:
+        self.worker.gateways[self.index].on_request(generated)
 
 
-def list_answers(tally: AnswerTotals) -> ListAnswers:
-    return ListAnswers(tally.number, tally.bytes, tally.seconds)
+def list_answers(totals: AnswerTotals) -> ListAnswers:
+    """The totals as a part of a report."""
+    return ListAnswers(totals.number, totals.bytes, totals.seconds)
 
 
 async def serve() -> None:
-    orders = await CommandStream.open()
-    task = await orders.read()
+    """Runs the process from its task to the end of its commands."""
+    commands = await CommandStream.open()
+    task = await commands.read()
     if not isinstance(task, WorkerTask):
         return
     worker = Worker(task)
     starting = asyncio.create_task(worker.start_gateways())
-    obeying = asyncio.create_task(worker.handle_commands(orders))
-    await asyncio.wait({starting, obeying}, return_when=asyncio.FIRST_COMPLETED)
+    handling = asyncio.create_task(worker.handle_commands(commands))
+    await asyncio.wait({starting, handling}, return_when=asyncio.FIRST_COMPLETED)
     if starting.done():
         await starting
         send_answer(GatewaysReady(worker.memory_before, worker.memory_created, worker.memory_listed))
-        await obeying
+        await handling
 
 
 def main() -> None:
