--- a/embersill/lab/scale/aggregators.py
+++ b/embersill/lab/scale/aggregators.py
@@ -1,4 +1,4 @@
-"""Counter aggregators between the gateways and the counter, as processes of a play."""
+"""Aggregators between the gateways and the counter, as processes of a play."""
 
 from __future__ import annotations
 
@@ -16,60 +16,62 @@
 from embersill.lab.scale.records import FleetSize
 
 MODULE = "embersill.aggregator"
-UNLIMITED_CALL_RATE = 1_000_000.0  # upstream calls a second, where the counter has no limit
-WAIT_TIMEOUT_SHARE = 2.0 / 3.0  # of the gateways' patience that a call may wait at an aggregator
-MAX_WAIT_MS = 50.0
+UNLIMITED_CALL_RATE = 1_000_000.0  # upstream calls per second, where the counter has no limit
+WAIT_TIMEOUT_SHARE = 2.0 / 3.0  # of the gateways' counter timeout, that a call may wait at an aggregator
+MAX_WAIT_MS = 50.0  # that a call may wait at an aggregator, whatever the timeout is
 STATISTICS_CALL = b"*1\r\n$9\r\nAGG.STATS\r\n"
 STATISTICS_TIMEOUT_SECONDS = 5.0
 CHUNK_BYTES = 65536
 
 
 class AggregatorsUnavailable(Exception):
-    """This version has no program for aggregators."""
+    """Aggregators were requested, and this version has no program for them."""
 
 
 @dataclass(frozen=True, slots=True)
 class Aggregator:
-    """A process, its name in the list, and the address that it listens at."""
+    """An aggregator's process, its name in the list, and the address at which it listens."""
 
     name: str
     address: str
     child: Child
 
 
-def check_aggregators(wanted: int) -> None:
-    """NoAggregators where some are wanted and the program is not there."""
-    if wanted and importlib.util.find_spec(MODULE) is None:
-        raise AggregatorsUnavailable(f"{wanted} aggregators are wanted, and there is no {MODULE} here")
+def check_aggregators(count: int) -> None:
+    """Raises AggregatorsUnavailable where the count is not 0 and there is no program for aggregators."""
+    if count and importlib.util.find_spec(MODULE) is None:
+        raise AggregatorsUnavailable(f"{count} aggregators are requested, and there is no {MODULE} here")
 
 
 def upstream_call_rate(size: FleetSize) -> float:
-    """Calls a second that one aggregator may make: an even part of the counter's capacity."""
+    """Calls per second that one aggregator may make: an even share of the counter's capacity."""
     if size.counter_calls_per_second <= 0:
         return UNLIMITED_CALL_RATE
     return size.counter_parts * size.counter_calls_per_second / size.aggregators
 
 
 class AggregatorFigures(msgspec.Struct, frozen=True):
-    """The part of an aggregator's statistics that is used here; counts since its start."""
+    """The fields of an aggregator's statistics that are used here; counts since its start."""
 
     calls: int  # from gateways
-    forwards: int  # to the counter, with a name's amount
-    probes: int  # to the counter, without
-    busy: dict[str, int]  # calls that were turned away, by reason
+    forwards: int  # calls to the counter that add a name's amount
+    probes: int  # calls to the counter without a name's amount
+    busy: dict[str, int]  # rejected calls, by reason
     has_lease: bool = False
 
     @property
     def calls_out(self) -> int:
+        """All calls to the counter."""
         return self.forwards + self.probes
 
     @property
     def rejected_calls(self) -> int:
+        """Calls of gateways that got the reply BUSY."""
         return sum(self.busy.values())
 
 
 def max_wait_ms(deployment: Deployment) -> float:
-    """How long a call may wait for a new name's total: below the gateways' patience."""
+    """How long a call may wait for a new name's total, in milliseconds: less than the gateways' timeout."""
     return min(MAX_WAIT_MS, 1000.0 * WAIT_TIMEOUT_SHARE * deployment.counter_timeout_seconds)
 
 
@@ -77,7 +79,10 @@
     children: Children, deployment: Deployment, name: str, counter: str, directory: str, address: str,
     advertised: str = "",
 ) -> Aggregator:
-    """Starts one that registers with a lease in the list service at `directory`."""
+    """Starts an aggregator that registers with a lease in the list service at `directory`.
+
+    It is listed at `advertised`, or at `address`, where it listens.
+    """
     child = await children.start_module(
         name, MODULE, "--listen", address, "--upstream", counter,
         "--upstream-calls", f"{upstream_call_rate(deployment.size):g}",
@@ -89,19 +94,25 @@
 async def start_aggregators(
     children: Children, deployment: Deployment, counter: str, directory: str
 ) -> list[Aggregator]:
-    """Starts as many as the size says, in front of the counter at that address."""
+    """Starts the size's number of aggregators, in front of the counter at an address.
+
+    Raises AggregatorsUnavailable, or ChildNotStarted where one does not register in time.
+    """
     check_aggregators(deployment.size.aggregators)
-    made = [
+    aggregators = [
         await start_aggregator(
             children, deployment, f"aggregator-{number}", counter, directory, f"{HOST}:{free_port()}")
         for number in range(deployment.size.aggregators)]
-    for aggregator in made:
+    for aggregator in aggregators:
         await aggregator.child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
-    return made
+    return aggregators
 
 
 async def read_figures(aggregator: Aggregator) -> AggregatorFigures:
-    """Its statistics, by a call as an operator makes it."""
+    """Reads an aggregator's statistics by the same call as operators.
+
+    Raises OSError or TimeoutError, or ChildFailed where the connection is closed without an answer.
+    """
     host, _, port = aggregator.address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     parser = hiredis.Reader()
--- a/embersill/lab/scale/bounds.py
+++ b/embersill/lab/scale/bounds.py
@@ -9,7 +9,7 @@
 import hiredis
 
 from embersill.lab.scale.deployment import Deployment, backend_name
-from embersill.lab.scale.list_service import MACHINE_TYPE, STARTED_MS
+from embersill.lab.scale.list_service import MACHINE, STARTED_MS
 from embersill.lab.scale.records import FleetSize, Play
 from embersill.lab.scale.resp import MAX_LIFE_SECONDS, MAX_NAME_BYTES
 from embersill.net.discovery import MAX_WATCH_MS, MIN_WATCH_SHARE
@@ -107,7 +107,7 @@
 def list_bytes(entries: int) -> float:
     """Bytes of an answer of the list service with so many entries, in the published form."""
     entry = {
-        "instanceId": backend_name(0), "hostPort": "127.0.0.1:65535", "zone": "a", "machineType": MACHINE_TYPE,
+        "instanceId": backend_name(0), "hostPort": "127.0.0.1:65535", "zone": "a", "machineType": MACHINE,
         "cell": 0, "lifecycle": "DRAINING", "weight": 1.0, "startedAtMs": STARTED_MS}
     whole = {"generation": LONGEST_GENERATION, "reset": False, "instances": []}
     return len(json.dumps(whole)) + entries * (len(json.dumps(entry)) + 2)
--- a/embersill/lab/scale/clients_process.py
+++ b/embersill/lab/scale/clients_process.py
@@ -242,8 +242,9 @@
         """The present counts as a part of a report."""
         answers, counter, list_service = self.answer_counts, self.counter_figures, self.list_figures
         return GatewayCounts(
-            answers.requests, answers.served, answers.refused, answers.failed, counter.calls, counter.bytes_out,
-            counter.bytes_in, list_service.calls, list_service.bytes_out, list_service.bytes_in)
+            answers.requests, answers.served, answers.refused, answers.failed, counter.calls,
+            counter.bytes_out, counter.bytes_in, list_service.calls,
+            list_service.bytes_out, list_service.bytes_in)
 
 
 class ClientsProcess:
--- a/embersill/lab/scale/counter_process.py
+++ b/embersill/lab/scale/counter_process.py
@@ -1,7 +1,9 @@
-"""A stand-in for the counter service, as a child: python -m embersill.lab.scale.counter_process
+"""A substitute for the counter service, a child of the scale command.
 
-It speaks the published form of the calls. All gateways of a play call from one address, so that the service's
-bound on connections from one address is left out; connections that stand idle are closed as there.
+    python -m embersill.lab.scale.counter_process PORT PARTS CALLS_PER_SECOND
+
+It implements the published protocol of the calls, and closes idle connections like the service. The service's
+limit on connections from one address is left out, as all gateways of a play call from one address.
 """
 
 from __future__ import annotations
@@ -29,13 +31,16 @@
 
 @dataclass(slots=True, eq=False)
 class Reply:
-    """A reply's place in the order of a connection's calls; nothing behind it is written before it is."""
+    """A reply in the order of a connection's calls; empty until the call is served.
+
+    No later reply is written before it.
+    """
 
     text: bytes = b""
 
 
 class CounterConnection(asyncio.Protocol):
-    """One caller: calls are answered in their order, however many are written one behind another."""
+    """One caller's connection; pipelined calls are answered in their order."""
 
     def __init__(self, model: CounterModel) -> None:
         self.model = model
@@ -61,6 +66,7 @@
         self.write_ready()
 
     def handle_command(self, words: object) -> None:
+        """Handles a command of the protocol, or appends an error reply."""
         reply = Reply()
         self.replies.append(reply)
         if not (isinstance(words, list) and words and all(isinstance(w, bytes) for w in words)):
@@ -75,6 +81,7 @@
             self.handle_add(words, reply)
 
     def handle_add(self, words: list[bytes], reply: Reply) -> None:
+        """Adds to a name at once, at the time that its part serves the call, or rejects the call."""
         try:
             call = read_add_call(words)
         except InvalidCall as error:
@@ -89,11 +96,12 @@
             self.loop.call_at(at, self.complete_add, call, reply)
 
     def complete_add(self, call: AddCall, reply: Reply) -> None:
-        """A call whose turn has come is carried out, whether its caller still waits or not."""
+        """Serves a queued call, whether its caller still waits or not."""
         reply.text = bulk_total(self.model.add(call))
         self.write_ready()
 
     def write_ready(self) -> None:
+        """Writes the replies up to the first call that is not served yet."""
         ready: list[bytes] = []
         while self.replies and self.replies[0].text:
             ready.append(self.replies.popleft().text)
@@ -101,13 +109,14 @@
             self.transport.write(b"".join(ready))
 
     def close_if_idle(self) -> None:
-        left = self.last_call_at + IDLE_TIMEOUT_SECONDS - self.loop.time()
-        if left > 0:
-            self.idle_timer = self.loop.call_later(left, self.close_if_idle)
+        remaining = self.last_call_at + IDLE_TIMEOUT_SECONDS - self.loop.time()
+        if remaining > 0:
+            self.idle_timer = self.loop.call_later(remaining, self.close_if_idle)
         elif self.transport is not None:
             self.transport.close()
 
     def close_with_error(self, text: bytes) -> None:
+        """Writes an error reply and closes the connection."""
         if self.transport is not None:
             self.transport.write(text)
             self.transport.close()
@@ -118,17 +127,19 @@
 
 
 async def listen(model: CounterModel, port: int) -> asyncio.Server:
+    """Serves the model to callers at a port of HOST."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: CounterConnection(model), HOST, port, backlog=ACCEPT_BACKLOG)
 
 
 async def serve(port: int, parts: int, calls_per_second: float) -> None:
-    orders = await CommandStream.open()
+    """Runs the process until its commands end."""
+    commands = await CommandStream.open()
     model = CounterModel(time.monotonic, parts, calls_per_second)
     server = await listen(model, port)
     send_answer(Listening())
-    while (order := await orders.read()) is not None:
-        if isinstance(order, ReadFigures):
+    while (command := await commands.read()) is not None:
+        if isinstance(command, ReadFigures):
             model.remove_expired()
             send_answer(CounterFigures(model.calls, model.rejected_calls, len(model.names)))
     server.close()
@@ -139,8 +150,8 @@
     parser.add_argument("port", type=int)
     parser.add_argument("parts", type=int)
     parser.add_argument("calls_per_second", type=float, help="of each part; 0: no limit")
-    told = parser.parse_args()
-    uvloop.run(serve(told.port, told.parts, told.calls_per_second))
+    options = parser.parse_args()
+    uvloop.run(serve(options.port, options.parts, options.calls_per_second))
 
 
 if __name__ == "__main__":
--- a/embersill/lab/scale/deployment.py
+++ b/embersill/lab/scale/deployment.py
@@ -1,8 +1,8 @@
-"""The deployment that a scale run plays: its customers, their plans, and the settings of a gateway.
+"""The deployment of a scale run: its customers, their plans, and the settings of a gateway.
 
-Everything follows from the fleet's size and a seed, so that each process computes the same deployment by
-itself. Customers' demands are skewed by Zipf's law; a customer's quota is chosen by its own demand, so that
-the part of the load that exceeds quotas stays about the same along each axis.
+Everything is computed from the fleet's size and a seed, so that each process gets the same deployment on its
+own. Customers' demands follow Zipf's law. A customer's quota is chosen by its own demand, so that the share
+of the load that exceeds quotas stays about the same along each axis.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from embersill.settings import read_settings
 
 ZIPF_EXPONENT = 0.8
-MIN_PLAN_RATE = 1.4  # units a second of the smallest plan; each next plan has twice that
+MIN_PLAN_RATE = 1.4  # units per second of the smallest plan; each next plan has twice the rate
 MIN_PLAN_BURST = 6.0  # units
-BURST_SECONDS = 2.0  # of a plan's rate that its burst holds, from LOWEST_BURST on
-MAX_NORMAL_USE = 0.4  # of its quota that a customer asks for, at the most
-HEAVY_SHARE = 0.1  # of the customers that ask for more than their quota, if their demand allows it
-MIN_HEAVY_USE = 1.5  # of its quota that such a customer asks for, at the least
+BURST_SECONDS = 2.0  # a plan's burst is its rate over this time, at least MIN_PLAN_BURST
+MAX_NORMAL_USE = 0.4  # largest share of its quota that a customer requests
+HEAVY_SHARE = 0.1  # share of customers that request more than their quota, if their demand allows it
+MIN_HEAVY_USE = 1.5  # smallest multiple of its quota that such a customer requests
 MEAN_SERVICE_SECONDS = 0.02
-KEYED_SHARE = 0.25  # of the requests that are of the class KEYED
-READ, KEYED = "read", "write"
+KEYED_SHARE = 0.25  # share of the requests that are of the class KEYED
+READ, KEYED = "read", "write"  # request classes
 BUDGET_SECONDS = 5.0
 AIM_SECONDS = 2.0
-# with a counter of limited capacity, the platform's; without a limit so long that a process which many hollow
-# gateways share does not make the counter look crowded by being late itself
+# The first, for a counter of limited capacity, is the platform's value. The second, for one without limit, is
+# so long that delays of a process that hosts many hollow gateways do not look like an overloaded counter.
 COUNTER_TIMEOUT_SECONDS, UNLIMITED_COUNTER_TIMEOUT_SECONDS = 0.03, 0.25
 DIAL_TIMEOUT_SECONDS = 1.0
 MAX_UNITS = 1.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPlan:
-    """A plan: units a second, and units that may be saved up."""
+    """A plan: units per second, and the most units that can be saved up."""
 
     name: str
     rate: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GeneratedRequest:
-    """One request as a client would send it."""
+    """A randomly generated request, as a client would send it."""
 
     customer: int
     request_class: str
@@ -61,17 +61,22 @@
     """The customers that enter through one gateway, with their cumulative weights."""
 
     customers: list[int]
-    cumulative_weights: list[float]
+    cumulative_weights: list[float]  # by which a request's customer is picked
     requests_per_second: float
 
-    def generate(self, dice: random.Random) -> GeneratedRequest:
-        customer = dice.choices(self.customers, cum_weights=self.cumulative_weights)[0]
-        klass = KEYED if dice.random() < KEYED_SHARE else READ
-        return GeneratedRequest(customer, klass, dice.expovariate(1.0 / MEAN_SERVICE_SECONDS))
+    def generate(self, rng: random.Random) -> GeneratedRequest:
+        """A request of a random customer, with a random class and service time."""
+        customer = rng.choices(self.customers, cum_weights=self.cumulative_weights)[0]
+        request_class = KEYED if rng.random() < KEYED_SHARE else READ
+        return GeneratedRequest(customer, request_class, rng.expovariate(1.0 / MEAN_SERVICE_SECONDS))
 
 
 class Deployment:
-    """Customers with their gateways and plans, for one size of the fleet."""
+    """Customers with their gateways and plans, for one size of the fleet.
+
+    first_gateways: first of the `spread` consecutive gateways through which each customer enters
+    tiers: plan of each customer, an index into `plans`
+    """
 
     def __init__(self, size: FleetSize, seed: int) -> None:
         self.size = size
@@ -85,26 +90,29 @@
         self.plans = [make_plan(tier) for tier in range(max(self.tiers) + 1)]
 
     def demands(self) -> np.ndarray[Any, np.dtype[np.float64]]:
-        """Requests a second of each customer, over all of its gateways."""
+        """Requests per second of each customer, summed over its gateways."""
         entered = np.zeros(self.size.gateways)
         for step in range(self.size.spread):
             np.add.at(entered, (self.first_gateways + step) % self.size.gateways, self.weights)
         per_weight = np.divide(
             self.size.requests_per_second, entered, out=np.zeros_like(entered), where=entered > 0)
-        found = np.zeros(self.size.customers)
+        demands = np.zeros(self.size.customers)
         for step in range(self.size.spread):
-            found += self.weights * per_weight[(self.first_gateways + step) % self.size.gateways]
-        return found
+            demands += self.weights * per_weight[(self.first_gateways + step) % self.size.gateways]
+        return demands
 
     @property
     def counter_timeout_seconds(self) -> float:
+        """Timeout of a gateway's counter calls."""
         limited = self.size.counter_calls_per_second > 0
         return COUNTER_TIMEOUT_SECONDS if limited else UNLIMITED_COUNTER_TIMEOUT_SECONDS
 
     def plan_of(self, customer: int) -> QuotaPlan:
+        """The plan of a customer."""
         return self.plans[self.tiers[customer]]
 
     def load_of(self, gateway: int) -> GatewayLoad:
+        """The customers and the request rate of one gateway."""
         distances = (gateway - self.first_gateways) % self.size.gateways
         customers = np.flatnonzero(distances < self.size.spread)
         weights = self.weights[customers]
@@ -113,17 +121,18 @@
             self.size.requests_per_second if len(customers) else 0.0)
 
     def settings(self, gateway: int) -> Settings:
+        """The settings of one gateway, as the decision module takes them."""
         return replace(read_settings(self.raw_settings(gateway)), aggregation=self.aggregation())
 
     def aggregation(self, directory: str = "") -> AggregationSettings | None:
-        """The part `aggregation` of a gateway's configuration; None where they call the counter itself."""
+        """The section `aggregation` of a gateway's configuration; None without aggregators."""
         if not self.size.aggregators:
             return None
         return AggregationSettings(
             directory, self.size.gateway_calls_per_second, self.size.gateway_calls_burst)
 
     def raw_settings(self, gateway: int) -> dict[str, Any]:
-        """A gateway's settings in the platform's form; its times are milliseconds."""
+        """A gateway's settings in the platform's format, with times in milliseconds."""
         return {
             "me": gateway, "balancers": self.size.gateways, "zone": ZONE, "membership_mode": "on_request",
             "services": [service_entry(READ, "repeatable"), service_entry(KEYED, "by_key")],
@@ -140,7 +149,7 @@
 
 
 def quota_tier(demand: float, heavy: bool) -> int:
-    """Number of the plan for a customer with this demand, in requests a second."""
+    """Index of the plan for a customer with this demand, in requests per second."""
     if heavy:
         needed = demand / MIN_HEAVY_USE / MIN_PLAN_RATE
         return max(0, int(np.floor(np.log2(needed)))) if needed > 0 else 0
@@ -149,25 +158,30 @@
 
 
 def make_plan(tier: int) -> QuotaPlan:
+    """The plan of this index; each has twice the rate of the one before."""
     rate = MIN_PLAN_RATE * 2.0**tier
     return QuotaPlan(f"tier-{tier}", rate, max(MIN_PLAN_BURST, BURST_SECONDS * rate))
 
 
 def service_entry(name: str, semantics: str) -> dict[str, Any]:
+    """A request class in the platform's format."""
     return {"name": name, "semantics": semantics, "dedup_scope": "all", "memory_span": 10_000.0,
             "aim": 1000.0 * AIM_SECONDS, "deadline": 1000.0 * BUDGET_SECONDS, "late_share": 0.0,
             "credit": 1.0, "stream": False}
 
 
 def package_entry(plan: QuotaPlan) -> dict[str, Any]:
+    """A plan in the platform's format."""
     return {"name": plan.name, "units_per_s": plan.rate, "peak_units": plan.burst, "concurrency": 0,
             "hard_rate": 0.0, "cap_depth": 0.0, "value_factor": 1.0, "extra_worth": 0.0,
             "overrun_cost": 0.5}
 
 
 def customer_name(customer: int) -> str:
+    """A customer's name in requests and counter names."""
     return f"{customer:016x}"
 
 
 def backend_name(backend: int) -> str:
+    """A backend's instance id in the list."""
     return f"s-{backend:08x}"
--- a/embersill/lab/scale/messages.py
+++ b/embersill/lab/scale/messages.py
@@ -1,4 +1,7 @@
-"""Messages between the command and the processes of a play: one JSON object a line, on standard streams."""
+"""Messages between the scale command and the processes of a play, one JSON object per line.
+
+They go through the standard streams. The names of classes and fields are the tags and keys of the messages.
+"""
 
 from __future__ import annotations
 
@@ -10,26 +13,26 @@
 
 
 class Message(msgspec.Struct, tag=True, frozen=True):
-    """Base of all messages; the tag is the class's name."""
+    """Base of all messages; the tag is the name of the class."""
 
 
-# from the command
+# commands, sent to the processes
 
 
 class WorkerTask(Message, frozen=True):
-    """The gateways that one process hosts."""
+    """Assigns hollow gateways to a worker process; its first command."""
 
     size: FleetSize
     seed: int
     gateways: list[int]  # numbers of its gateways in the fleet
     directories: list[str]  # addresses of the list service, the leader first
     counter: str
-    aggregator_lists: list[str]  # addresses of the aggregators' list service; none: the counter is called
-    starts_per_second: float  # at which gateways are started
+    aggregator_lists: list[str]  # addresses of the aggregators' list service; none: call the counter
+    starts_per_second: float  # gateways of this process
 
 
 class ClientsTask(Message, frozen=True):
-    """Backends, relays and clients of the real gateways."""
+    """Assigns the backends, relays and clients of the real gateways to a process; its first command."""
 
     size: FleetSize
     seed: int
@@ -40,7 +43,7 @@
 
 
 class RealGatewayPorts(msgspec.Struct, frozen=True):
-    """Where a real gateway listens, and the relays through which it calls the list and the counter."""
+    """Ports of a real gateway, and of the relays through which it calls the list service and the counter."""
 
     number: int
     gateway: int
@@ -49,37 +52,37 @@
 
 
 class BeginLoad(Message, frozen=True):
-    """Requests are sent from now on."""
+    """Starts the requests of clients."""
 
 
 class BeginMeasuring(Message, frozen=True):
-    """Figures count from now on."""
+    """Starts the measured time."""
 
 
 class Restart(Message, frozen=True):
-    """These gateways lose all they have, at once, and start again."""
+    """Restarts these gateways at the same time, without their state."""
 
     gateways: list[int]
 
 
 class WatchFailover(Message, frozen=True):
-    """This aggregator was killed: it is noted when its customers' calls are answered again."""
+    """An aggregator was killed: starts to measure when its customers' calls are answered again."""
 
     aggregator: str
 
 
 class EndMeasuring(Message, frozen=True):
-    """Figures count no longer."""
+    """Ends the measured time."""
 
 
 class Collect(Message, frozen=True):
-    """Asks for the report; `generations`: of the writes whose news are looked for."""
+    """Requests the report; `generations` are those of the list writes to be looked up."""
 
     generations: list[int]
 
 
 class ReadFigures(Message, frozen=True):
-    """Asks a counter for its figures."""
+    """Requests the figures of the counter."""
 
 
 Command = (
@@ -87,15 +90,18 @@
     | ReadFigures)
 
 
-# to the command
+# answers, sent to the scale command
 
 
 class Listening(Message, frozen=True):
-    """A process is ready to be called."""
+    """A process accepts connections."""
 
 
 class GatewaysReady(Message, frozen=True):
-    """All gateways of a process have the list; resident memory in bytes at three moments."""
+    """All gateways of a process have the list.
+
+    Resident bytes of the process before its gateways were created, after that, and when all had the list.
+    """
 
     memory_before: int
     memory_created: int
@@ -103,11 +109,11 @@
 
 
 class Done(Message, frozen=True):
-    """An order that has no other answer was carried out."""
+    """A command that has no other answer was carried out."""
 
 
 class GatewayCounts(msgspec.Struct, frozen=True):
-    """What one gateway did; between two moments where it is a difference."""
+    """Counts of one gateway, since its start or as the difference between two moments."""
 
     requests: int = 0
     served: int = 0
@@ -121,12 +127,13 @@
     list_bytes_in: int = 0
 
     def since(self, earlier: GatewayCounts) -> GatewayCounts:
+        """The difference from earlier counts."""
         return GatewayCounts(
             *(getattr(self, name) - getattr(earlier, name) for name in self.__struct_fields__))
 
 
 class ListAnswers(msgspec.Struct, frozen=True):
-    """Answers of the list service of one kind: their number, bytes, and CPU seconds to take them in."""
+    """Answers of the list service of one kind: their number, bytes, and CPU seconds to process them."""
 
     number: int = 0
     bytes: int = 0
@@ -134,27 +141,27 @@
 
 
 class QuotaEvents(msgspec.Struct, frozen=True):
-    """Requests that were sent on or refused, by time; the lists have one entry for each request."""
+    """Requests that were sent to a backend or refused; each list has one entry per request."""
 
-    times: list[float]  # seconds of the system's monotonic clock
+    times: list[float]  # monotonic
     customers: list[int]
-    sent: list[bool]
+    sent: list[bool]  # False: refused
 
 
 class RestartFigures(msgspec.Struct, frozen=True):
-    """What gateways that restarted together needed until each had its list."""
+    """What gateways that were restarted together needed until each had its list."""
 
     gateways: int = 0
-    untold: int = 0  # gateways that had no list by the end
+    untold: int = 0  # gateways without a list at the end
     list_calls: int = 0
     list_bytes_in: int = 0
-    last_told_at: float = 0.0  # monotonic
+    last_told_at: float = 0.0  # when the last of the others had its list; monotonic
 
 
 class FailoverFigures(msgspec.Struct, frozen=True):
-    """When gateways learned that an aggregator was gone, and when its customers' calls were answered again.
+    """When gateways removed a killed aggregator, and when its customers' calls were answered again.
 
-    Monotonic times, one for each gateway that got there.
+    Monotonic times, one for each gateway that did or had this by the end.
     """
 
     left_at: list[float]
@@ -162,34 +169,34 @@
 
 
 class WorkerReport(Message, frozen=True):
-    """Figures of one process's gateways."""
+    """What the gateways of one worker process did."""
 
-    seconds: float  # of measured time at this process
+    seconds: float  # length of the measured time in this process
     counts: list[GatewayCounts]
-    customers: list[int]  # that each gateway keeps a state for
-    starts: int
+    customers: list[int]  # number of customers that each gateway stores state for
+    starts: int  # of gateways, restarts included
     whole_lists: ListAnswers
     changes: ListAnswers
-    module_seconds: float
-    process_seconds: float
-    memory_loaded: int
-    news: list[float | None]  # monotonic time at which the last gateway was told; None: some never were
+    module_seconds: float  # CPU time in the decision modules
+    process_seconds: float  # CPU time of the whole process
+    memory_loaded: int  # resident bytes at the end
+    news: list[float | None]  # when the last gateway received each write; None: some did not. Monotonic
     restart: RestartFigures
     failover: FailoverFigures
     events: QuotaEvents
-    given_up: dict[str, int]  # requests that the modules ended themselves since the start, by reason
+    given_up: dict[str, int]  # requests that gateways refused or failed themselves since the start, by reason
 
 
 class ClientsReport(Message, frozen=True):
-    """Figures of the real gateways, as their clients and relays see them."""
+    """What the real gateways did, as their clients and relays see it."""
 
     counts: list[GatewayCounts]
-    added_ms: list[float]  # latency less the backend's service time, of each served request
+    added_ms: list[float]  # latency minus the backend's service time, of each served request
     events: QuotaEvents
 
 
 class CounterFigures(Message, frozen=True):
-    """What a counter has done since its start, and the names that live now."""
+    """Calls at the counter since its start, how many of them it rejected, and its present number of names."""
 
     calls: int
     turned_away: int
@@ -204,5 +211,5 @@
 
 
 def sum_figure(counts: Sequence[GatewayCounts], name: str) -> int:
-    """Sum of one figure over gateways."""
+    """Sum of one field over gateways."""
     return sum(getattr(c, name) for c in counts)
--- a/embersill/lab/scale/metered_router.py
+++ b/embersill/lab/scale/metered_router.py
@@ -1,4 +1,4 @@
-"""The gateways' routing of counter calls over aggregators, with its bytes counted and a failover timed."""
+"""The gateways' routing of counter calls to aggregators, with its bytes counted and a failover timed."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 @dataclass(slots=True)
 class Failover:
-    """An aggregator that was killed, and when its customers came to others; monotonic times, 0 until then."""
+    """A killed aggregator, and when other aggregators took over its customers; monotonic, 0 until then."""
 
     aggregator: str
-    members: list[Member]  # as they were when it was killed
-    removed_at: float = 0.0  # when the list no longer had it
+    members: list[Member]  # before it was killed
+    removed_at: float = 0.0  # when the gateway's list no longer had it
     answered_at: float = 0.0  # when a call for one of its customers was answered again
 
     def served_customer(self, customer: bytes) -> bool:
-        """Whether a customer's calls went to the aggregator that was killed."""
+        """Whether a customer's calls went to the killed aggregator."""
         chosen = max(self.members, key=lambda member: (member.weight(customer), member.name))
         return chosen.name == self.aggregator
 
 
 class MeteredRouter(AggregatorRouter):
-    """The real routing; connections to aggregators are metered, the one to their list service is not."""
+    """The real routing; bytes of connections to aggregators are counted, those to their list service not."""
 
     def __init__(
-        self, clock: Callable[[], float], directory: Sequence[Address], patience: float, dial_timeout: float,
-        told: Callable[[CounterCallEnded], None], connections: int, seed: int, gateways: int, *,
+        self, clock: Callable[[], float], directory: Sequence[Address], timeout: float, dial_timeout: float,
+        on_result: Callable[[CounterCallEnded], None], connections: int, seed: int, gateways: int, *,
         meter: ByteMeter,
     ) -> None:
-        super().__init__(clock, directory, patience, dial_timeout, told, connections, seed, gateways)
+        super().__init__(clock, directory, timeout, dial_timeout, on_result, connections, seed, gateways)
         self.meter = meter
         self.failover: Failover | None = None
 
@@ -46,7 +46,7 @@
         return counter
 
     def watch_failover(self, aggregator: str) -> None:
-        """Notes from now on when the customers of an aggregator that was killed are answered again."""
+        """Starts to measure when the customers of a killed aggregator are answered again."""
         self.failover = Failover(aggregator, list(self.members.values()))
         self.check_removed()
 
@@ -55,14 +55,16 @@
         self.check_removed()
 
     def check_removed(self) -> None:
+        """Records when the killed aggregator has left the list."""
         failover = self.failover
         if failover is not None and not failover.removed_at and failover.aggregator not in self.members:
             failover.removed_at = time.monotonic()
 
-    def member_answered(self, counter: Counter, counted: CounterCallEnded) -> None:
+    def member_answered(self, counter: Counter, result: CounterCallEnded) -> None:
+        """Records the first answered call of a customer of the killed aggregator."""
         failover = self.failover
         if failover is not None and failover.removed_at and not failover.answered_at:
-            customer = counted.name.rpartition(".")[0].encode()
-            if counted.outcome is Outcome.SERVED and failover.served_customer(customer):
+            customer = result.name.rpartition(".")[0].encode()
+            if result.outcome is Outcome.SERVED and failover.served_customer(customer):
                 failover.answered_at = time.monotonic()
-        super().member_answered(counter, counted)
+        super().member_answered(counter, result)
--- a/embersill/lab/scale/metering.py
+++ b/embersill/lab/scale/metering.py
@@ -1,7 +1,7 @@
 """Counts the bytes of a client's connections without changing the client.
 
-The clients open connections by their `loop`'s `create_connection`. A MeteredLoop stands in its place: it puts
-a protocol between the socket and the client's own that counts and passes on.
+Clients open connections with `create_connection` of their `loop`. A MeteredLoop in its place inserts a
+protocol between the socket and the client's own, which counts the bytes and forwards every event.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True)
 class ByteMeter:
-    """Bytes written to and read from connections."""
+    """Bytes written to and read from a client's connections."""
 
     bytes_out: int = 0
     bytes_in: int = 0
 
 
 class MeteredTransport:
-    """A transport whose writes are counted; all else is the transport's own."""
+    """A transport whose written bytes are counted; all other members are the wrapped transport's."""
 
     def __init__(self, transport: asyncio.Transport, meter: ByteMeter) -> None:
         self.transport, self.meter = transport, meter
@@ -35,7 +35,7 @@
 
 
 class MeteredProtocol(asyncio.Protocol):
-    """Counts what is read and passes every event on to the client's protocol."""
+    """Counts the bytes read, and forwards every event to the client's protocol."""
 
     def __init__(self, client: asyncio.Protocol, meter: ByteMeter) -> None:
         self.client, self.meter = client, meter
@@ -62,15 +62,15 @@
 
 
 class MeteredLoop:
-    """An event loop whose outgoing connections are counted; all else is the loop's own."""
+    """An event loop whose outgoing connections are counted; all other members are the wrapped loop's."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, meter: ByteMeter) -> None:
         self.loop, self.meter = loop, meter
 
     async def create_connection(
-        self, make: Callable[[], asyncio.Protocol], host: str, port: int
+        self, protocol_factory: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> tuple[asyncio.BaseTransport, asyncio.Protocol]:
-        client = make()
+        client = protocol_factory()
         transport, _ = await self.loop.create_connection(
             lambda: MeteredProtocol(client, self.meter), host, port)
         return transport, client
@@ -80,5 +80,5 @@
 
 
 def metered_loop(meter: ByteMeter) -> asyncio.AbstractEventLoop:
-    """The running loop, with the connections opened by it counted."""
+    """The running loop, counting the bytes of connections that are opened through the result."""
     return cast(asyncio.AbstractEventLoop, MeteredLoop(asyncio.get_running_loop(), meter))
--- a/embersill/lab/scale/plan.py
+++ b/embersill/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""A play that is to be made, and the times that bound it."""
+"""The plan of one play, and the timeouts of its steps."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 
 from embersill.lab.scale.records import FleetSize
 
-STARTS_PER_SECOND = 400.0  # gateways of the whole fleet: the list service answers them as they come
-PEER_START_TIMEOUT_SECONDS = 15.0  # for a process to get ready
-LIST_UPDATE_TIMEOUT_SECONDS = 1.5  # after the measured time, for the last news to arrive, at the most
-RESTART_TIMEOUT_SECONDS = 20.0  # the same where gateways restart and need whole lists
+STARTS_PER_SECOND = 400.0  # gateways of the whole fleet, so that the list service keeps up with them
+PEER_START_TIMEOUT_SECONDS = 15.0  # until a process is ready
+LIST_UPDATE_TIMEOUT_SECONDS = 1.5  # after the measured time, for gateways to receive the last changes
+RESTART_TIMEOUT_SECONDS = 20.0  # the same where gateways restart and need full lists
 
 
 @dataclass(frozen=True, slots=True)
 class PlayPlan:
-    """A play that is to be made."""
+    """One play: a point of an axis, the fleet's size there, and how it is measured."""
 
     axis: str
-    value: float
-    number: int
+    value: float  # on the axis
+    number: int  # of the play at this point, from 0
     seed: int
     size: FleetSize
-    seconds: float
+    seconds: float  # of measured time
     warm_up_seconds: float
-    workers: int
+    workers: int  # processes that host hollow gateways
     real_gateways: int
 
     def timeout_seconds(self) -> float:
-        """After which the play is broken off."""
+        """Time after which the play fails."""
         starting = 3 * PEER_START_TIMEOUT_SECONDS + 3 * self.size.gateways / STARTS_PER_SECOND
-        return starting + self.warm_up_seconds + self.seconds + LIST_UPDATE_TIMEOUT_SECONDS + RESTART_TIMEOUT_SECONDS
+        return (
+            starting + self.warm_up_seconds + self.seconds + LIST_UPDATE_TIMEOUT_SECONDS
+            + RESTART_TIMEOUT_SECONDS)
--- a/embersill/lab/scale/quota_account.py
+++ b/embersill/lab/scale/quota_account.py
@@ -1,6 +1,6 @@
-"""A fleet-wide account of each customer's quota, kept after the play from what all processes noted.
+"""Replays a play's quota events of all processes against each customer's fleet-wide quota.
 
-All processes of a play read the same monotonic clock, so that their events can be put in one order.
+All processes of a play read the same monotonic clock, so their events can be sorted into one order.
 """
 
 from __future__ import annotations
@@ -14,25 +14,26 @@
 
 @dataclass(slots=True)
 class QuotaLevel:
-    """What is left of a customer's quota, over all gateways."""
+    """Remaining units of a customer's quota, over all gateways."""
 
     plan: QuotaPlan
-    level: float
-    updated_at: float
+    level: float  # units
+    updated_at: float  # monotonic
 
     def refill(self, now: float) -> None:
+        """Adds the units since the last update, up to the plan's burst."""
         self.level = min(self.plan.burst, self.level + self.plan.rate * (now - self.updated_at))
         self.updated_at = now
 
 
 @dataclass(slots=True)
 class QuotaOutcome:
-    """What came of the requests between two moments."""
+    """Counts of the requests between two moments."""
 
     sent: int = 0
     refused: int = 0
-    beyond_quota: int = 0  # sent while the quota held less than one unit
-    refused_with_room: int = 0  # refused while it held one or more
+    beyond_quota: int = 0  # sent while the quota held less than 1 unit
+    refused_with_room: int = 0  # refused while the quota held 1 unit or more
 
     @property
     def requests(self) -> int:
@@ -40,11 +41,11 @@
 
 
 def replay_events(
-    deployment: Deployment, logs: Iterable[QuotaEvents], began: float, until: float
+    deployment: Deployment, logs: Iterable[QuotaEvents], start: float, end: float
 ) -> QuotaOutcome:
-    """Replays all events in their order. Quotas are full at the first; what counts lies between the moments.
+    """Replays all events in their order, and counts those from `start` until `end`, monotonic times.
 
-    A unit beyond the quota takes nothing from it.
+    A customer's quota is full at its first event. A request beyond the quota takes no unit from it.
     """
     events = sorted(
         event for log in logs for event in zip(log.times, log.customers, log.sent, strict=True))
@@ -54,12 +55,12 @@
         plan = deployment.plan_of(customer)
         quota = levels.setdefault(customer, QuotaLevel(plan, plan.burst, at))
         quota.refill(at)
-        room = quota.level >= 1.0
-        if sent and room:
+        has_room = quota.level >= 1.0
+        if sent and has_room:
             quota.level -= 1.0
-        if began <= at < until:
+        if start <= at < end:
             outcome.sent += sent
             outcome.refused += not sent
-            outcome.beyond_quota += sent and not room
-            outcome.refused_with_room += not sent and room
+            outcome.beyond_quota += sent and not has_room
+            outcome.refused_with_room += not sent and has_room
     return outcome
--- a/embersill/lab/scale/real_gateways.py
+++ b/embersill/lab/scale/real_gateways.py
@@ -1,4 +1,4 @@
-"""Real gateways beside the hollow ones: processes started by the deploy file's `run`."""
+"""Real gateways next to the hollow ones: processes started by the deploy file's `run` command."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 READY_POLL_SECONDS = 0.05
 MEMORY_MB, SOCKETS = 192, 1024  # as on the platform
-RUN_VARIABLE = "EMBERSILL_RUN"  # environment: a command in place of the deploy file's run
+RUN_VARIABLE = "EMBERSILL_RUN"  # environment variable: a command that replaces the deploy file's
 
 
 def choose_ports(number: int, directories: int) -> RealGatewayPorts:
+    """Free ports for a gateway and its relays, with one relay for each replica of the list service."""
     return RealGatewayPorts(number, free_port(), [free_port() for _ in range(directories)], free_port())
 
 
 def gateway_config(
     deployment: Deployment, ports: RealGatewayPorts, seed: int, aggregator_list: str = ""
 ) -> dict[str, object]:
-    """A gateway that starts with no list, as hollow ones do."""
-    told: dict[str, object] = {
+    """A real gateway's configuration, without a list of backends, as hollow gateways start."""
+    config: dict[str, object] = {
         "name": f"n{ports.number}", "listen": f"{HOST}:{ports.gateway}",
         "discovery": [f"{HOST}:{port}" for port in ports.discovery_relays],
         "counter": f"{HOST}:{ports.counter_relay}", "seed": f"{seed:016x}",
@@ -37,14 +38,15 @@
     }
     aggregation = deployment.aggregation(aggregator_list)
     if aggregation is not None:
-        told["aggregation"] = dataclasses.asdict(aggregation)
-    return told
+        config["aggregation"] = dataclasses.asdict(aggregation)
+    return config
 
 
 async def start_gateway(
     children: Children, folder: pathlib.Path, deployment: Deployment, ports: RealGatewayPorts, seed: int,
     aggregator_list: str = "",
 ) -> Child:
+    """Starts a real gateway with its files in a folder of its own. Raises ChildNotStarted."""
     home = folder / f"gateway-{ports.number}"
     home.mkdir()
     path = home / "config.json"
@@ -55,12 +57,12 @@
         {"RELAY_CONFIG": str(path), "TMPDIR": str(home)})
 
 
-async def wait_ready(child: Child, ports: RealGatewayPorts, within: float) -> None:
-    """ChildNotStarted where it does not get ready."""
+async def wait_ready(child: Child, ports: RealGatewayPorts, timeout: float) -> None:
+    """Waits until a gateway is ready; `timeout` is seconds. Raises ChildNotStarted."""
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout):
             while not await is_ready(ports.gateway):
                 await asyncio.sleep(READY_POLL_SECONDS)
     except TimeoutError:
         raise ChildNotStarted(
-            f"{child.name} did not get ready within {within:.0f} s{child.last_log_line()}") from None
+            f"{child.name} did not get ready within {timeout:.0f} s{child.last_log_line()}") from None
--- a/embersill/lab/scale/resp.py
+++ b/embersill/lab/scale/resp.py
@@ -1,4 +1,4 @@
-"""The published form of the counter's calls and replies (RESP2), and the rules that its names live by."""
+"""The published protocol of the counter (RESP2): its calls and replies, and a model of its names."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MAX_LIFE_SECONDS = 60.0
+MAX_LIFE_SECONDS = 60.0  # of a name; longer lives are shortened to it
 MAX_NAME_BYTES = 64
 MAX_AMOUNT = 1e9
-MAX_QUEUED_CALLS = 50  # calls waiting at a part of the counter, beyond which a call is turned away
-REMOVE_EXPIRED_EVERY = 4096  # calls between clearings of names that have ended
+MAX_QUEUED_CALLS = 50  # calls waiting at a part of the counter; further calls are rejected
+REMOVE_EXPIRED_EVERY = 4096  # calls
 BUSY = b"-BUSY the part has no room\r\n"
 PONG, OK = b"+PONG\r\n", b"+OK\r\n"
 
 
 class InvalidCall(Exception):
-    """Why a call is answered by -ERR."""
+    """A call is invalid; the message follows -ERR in the reply."""
 
 
 @dataclass(slots=True)
 class NamedTotal:
-    """A name's total, and the time at which the name ends."""
+    """A name's total, and the time at which the name expires."""
 
     total: float
     expires_at: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddCall:
-    """CNT.ADD NAME AMOUNT LIFE_MS."""
+    """The call CNT.ADD NAME AMOUNT LIFE_MS."""
 
     name: str
     amount: float
@@ -38,7 +38,7 @@
 
 
 def read_add_call(words: list[bytes]) -> AddCall:
-    """BadCall says what is wrong with it."""
+    """Reads a call from the words of its array. Raises InvalidCall."""
     if len(words) != 4 or words[0].upper() != b"CNT.ADD":
         raise InvalidCall("no such call")
     try:
@@ -55,14 +55,15 @@
 
 
 def bulk_total(total: float) -> bytes:
+    """A total as a bulk string, with seven significant digits."""
     text = b"%.7g" % total
     return b"$%d\r\n%s\r\n" % (len(text), text)
 
 
 class CounterModel:
-    """Names, and the capacity of each part: a part serves one call after the other.
+    """The names with their totals, and the capacity of each part, which serves one call at a time.
 
-    `calls_per_second` of nought is a part without limit, which answers at once.
+    With `calls_per_second` 0, a part has no limit and answers immediately.
     """
 
     def __init__(self, clock: Callable[[], float], parts: int, calls_per_second: float) -> None:
@@ -72,34 +73,35 @@
         self.calls = self.rejected_calls = 0
 
     def reserve(self, name: str) -> float | None:
-        """The time at which a call for this name is served; None where its part turns it away."""
+        """Queues a call for this name, and returns the time at which it is served; None: rejected."""
         now = self.clock()
         self.calls += 1
         if self.calls_per_second <= 0:
             return now
         part = zlib.crc32(name.encode()) % len(self.part_free_at)
-        begins = max(now, self.part_free_at[part])
-        if (begins - now) * self.calls_per_second > MAX_QUEUED_CALLS:
+        starts_at = max(now, self.part_free_at[part])
+        if (starts_at - now) * self.calls_per_second > MAX_QUEUED_CALLS:
             self.rejected_calls += 1
             return None
-        self.part_free_at[part] = begins + 1.0 / self.calls_per_second
+        self.part_free_at[part] = starts_at + 1.0 / self.calls_per_second
         return self.part_free_at[part]
 
     def add(self, call: AddCall) -> float:
-        """The new total. A name's life begins with its first call and is not extended by others."""
+        """Adds to a name and returns its total. Its life starts with its first call; others do not extend it."""
         now = self.clock()
         if self.calls % REMOVE_EXPIRED_EVERY == 0:
             self.remove_expired()
-        kept = self.names.get(call.name)
-        if kept is None or kept.expires_at <= now:
-            kept = self.names[call.name] = NamedTotal(0.0, now + call.life_seconds)
-        kept.total += call.amount
-        return kept.total
+        named = self.names.get(call.name)
+        if named is None or named.expires_at <= now:
+            named = self.names[call.name] = NamedTotal(0.0, now + call.life_seconds)
+        named.total += call.amount
+        return named.total
 
     def clear(self) -> None:
-        """As a restart of the counter would."""
+        """Drops all names, as a restart of the counter does."""
         self.names.clear()
 
     def remove_expired(self) -> None:
+        """Drops the names whose life is over."""
         now = self.clock()
-        self.names = {name: kept for name, kept in self.names.items() if kept.expires_at > now}
+        self.names = {name: named for name, named in self.names.items() if named.expires_at > now}
