--- a/embersill/lab/scale/resp.py
+++ b/embersill/lab/scale/resp.py
@@ -87,7 +87,7 @@
         return self.part_free_at[part]
 
     def add(self, call: AddCall) -> float:
-        """Adds to a name and returns its total. Its life starts with its first call; others do not extend it."""
+        """Adds to a name and returns its total. Its life starts with the first call and is not extended."""
         now = self.clock()
         if self.calls % REMOVE_EXPIRED_EVERY == 0:
             self.remove_expired()
--- a/tests/test_scale_aggregated.py
+++ b/tests/test_scale_aggregated.py
@@ -1,7 +1,7 @@
-"""Real gateways, aggregators with leases and the counter's stand-in, joined. Verdicts rest on counts.
+"""Real gateways and aggregators with leases against a substitute for the counter; all checks are of counts.
 
-One play gives all observations, as its parts follow from one another: a steady time, an aggregator killed,
-another restarted empty at its address, and both gone.
+One play makes all observations, as each step starts from the state that the previous one leaves: a steady
+load, an aggregator killed, the other restarted without its state at the same address, then killed as well.
 """
 
 from __future__ import annotations
@@ -36,40 +36,40 @@
 from embersill.lab.scale.records import FleetSize
 from embersill.lab.scale.resp import AddCall, CounterModel
 
-GATEWAYS, AGGREGATORS = 3, 2  # that are started
-CALLS_PER_SECOND, BURST = 12.0, 12.0  # of a gateway: below what its load would make without a bound
+GATEWAYS, AGGREGATORS = 3, 2  # started; the deployment has more gateways
+CALLS_PER_SECOND, BURST = 12.0, 12.0  # of a gateway: less than its load would make without a budget
 SIZE = FleetSize(
     gateways=12, backends=24, customers=90, spread=GATEWAYS, requests_per_second=60.0,
     changes_per_second=0.5, restarted_share=0.0, aggregators=AGGREGATORS,
     gateway_calls_per_second=CALLS_PER_SECOND, gateway_calls_burst=BURST)
 STEADY_SECONDS = 4.0
-SETTLE_SECONDS = 1.0  # for the last amounts to reach the counter: a window is a tenth of it
-ARRIVE_SECONDS = 0.05  # for what an aggregator has written to reach the counter
+SETTLE_SECONDS = 1.0  # for the last amounts to reach the counter: ten windows of an aggregator
+ARRIVE_SECONDS = 0.05  # for calls that an aggregator has written to reach the counter
 RESTARTED_SECONDS = 3.0
-ALONE_SECONDS = 3.0
+LOCAL_SECONDS = 3.0
 LEASE_SECONDS = 10.0  # of an aggregator in its list
-MOVED_WITHIN = LEASE_SECONDS + 5.0  # seconds: the lease, its expiry noticed, the news told, a gateway's pause
-# customers whose parts of a quota hold no request: each request asks the counter, by a name that lives
-# long. They may enter through all gateways, the others through those that are started
-THIN_SIZE = replace(SIZE, spread=SIZE.gateways, customers=SIZE.customers + 12, requests_per_second=2.0)
-THIN_CUSTOMERS = range(SIZE.customers, THIN_SIZE.customers)
-THIN_REQUESTS_PER_SECOND = 25.0  # at a gateway
-HOT_RATE = 10.0  # units a second, near which the quota is of the customer that asks for several times as much
+MOVED_WITHIN = LEASE_SECONDS + 5.0  # seconds: also for the list's change and a gateway's backoff
+# Customers whose quota slices hold less than a request, so that each request reads the counter's level, by a
+# name with a long life. They may enter through all gateways, the others through those that are started.
+LOW_RATE_SIZE = replace(SIZE, spread=SIZE.gateways, customers=SIZE.customers + 12, requests_per_second=2.0)
+LOW_RATE_CUSTOMERS = range(SIZE.customers, LOW_RATE_SIZE.customers)
+LOW_RATE_REQUESTS_PER_SECOND = 25.0  # at a gateway
+HOT_RATE = 10.0  # units per second: about the quota of the customer that requests several times as much
 SERVICE_SECONDS = 0.01
-COUNTED_LATE_SECONDS = 1.5  # a second's demand is told at its end, an amount is held for a window
-EXACT = 1e-6  # part by which totals may differ: they are told to seven digits
+COUNTED_LATE_SECONDS = 1.5  # demand is reported at the end of a second, an amount is held for a window
+EXACT = 1e-6  # relative difference allowed between totals, which are sent with seven digits
 SOCKET = re.compile(r"socket:\[(\d+)\]")
 
 
 class RecordingCounter(CounterModel):
-    """The counter, which also keeps what was ever added to a name."""
+    """The counter, which also records all that was ever added to a name."""
 
     def __init__(self) -> None:
         super().__init__(time.monotonic, 1, 0.0)
         self.added: Tally[str] = Tally()
 
     def add(self, call: AddCall) -> float:
-        self.added[call.name] += call.amount  # type: ignore[assignment]  # amounts need not be whole
+        self.added[call.name] += call.amount  # type: ignore[assignment]  # amounts need not be integers
         return super().add(call)
 
     def total(self, name: str) -> float:
@@ -78,8 +78,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldCall:
-    """A gateway's call that an aggregator answered by a total, or by an error."""
+class AnsweredCall:
+    """A gateway's call that an aggregator answered with a total or an error."""
 
     gateway: int
     aggregator: str
@@ -88,25 +88,25 @@
     amount: float
     at: float  # when it was made
     before: float  # the counter's total then
-    total: float | None  # None: turned away
+    total: float | None  # None: rejected
     answered_at: float
 
 
 @dataclass(slots=True)
 class Observations:
-    """What was seen in the play, by part."""
+    """Observations of the play, by step."""
 
-    calls: list[ToldCall] = field(default_factory=list)
-    unanswered: int = 0  # calls whose connection ended before their answer
+    calls: list[AnsweredCall] = field(default_factory=list)
+    unanswered: int = 0  # calls whose connection closed before their answer
     load_began: float = 0.0
-    calls_made: list[list[float]] = field(default_factory=lambda: [[] for _ in range(GATEWAYS)])  # when
+    calls_made: list[list[float]] = field(default_factory=lambda: [[] for _ in range(GATEWAYS)])  # times
     steady_in: list[AggregatorFigures] = field(default_factory=list)
-    counter_calls: int = 0  # in the steady time
-    steady_calls: int = 0  # that were answered
-    steady_told: dict[str, float] = field(default_factory=dict)
+    counter_calls: int = 0  # in the steady step
+    steady_calls: int = 0  # answered
+    steady_answered: dict[str, float] = field(default_factory=dict)
     steady_added: dict[str, float] = field(default_factory=dict)
-    hot_rate: float = 0.0  # units a second that the hot customer's quota allows
-    hot_burst: float = 0.0  # units that it may have saved up
+    hot_rate: float = 0.0  # units per second of the hot customer's quota
+    hot_burst: float = 0.0  # units that it can have saved up
     killed_at: float = 0.0
     moved_after: float = math.inf  # seconds from the kill until the last gateway's calls had moved
     served_meanwhile: list[int] = field(default_factory=list)  # by gateway
@@ -115,22 +115,22 @@
     restarted: str = ""
     hot_sent_after_restart: int = 0
     hot_seconds_after_restart: float = 0.0
-    hot_sent_alone: int = 0
-    alone_seconds: float = 0.0
-    alone_failed: int = 0
-    alone_served: list[int] = field(default_factory=list)
-    counter_calls_alone: int = 0
+    hot_sent_locally: int = 0
+    local_seconds: float = 0.0
+    local_failed: int = 0
+    local_served: list[int] = field(default_factory=list)
+    local_counter_calls: int = 0
 
 
 class AggregatorRelay(Peer):
-    """Passes gateways' connections on to an aggregator, and notes calls with their answers."""
+    """Forwards gateways' connections to an aggregator, and records calls with their answers."""
 
-    def __init__(self, name: str, target: str, bed: Bed) -> None:
+    def __init__(self, name: str, target: str, fleet: Fleet) -> None:
         super().__init__()
-        self.name, self.target, self.bed = name, target, bed
+        self.name, self.target, self.fleet = name, target, fleet
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        gateway = self.bed.gateway_of(
+        gateway = self.fleet.gateway_of(
             writer.get_extra_info("peername")[1], writer.get_extra_info("sockname")[1])
         host, _, port = self.target.rpartition(":")
         answers, calls = await asyncio.open_connection(host, int(port))
@@ -142,11 +142,11 @@
                 parser.feed(data)
                 while (words := parser.gets()) is not False:
                     name = words[1].decode()
-                    self.bed.note_call(gateway)
-                    out.append((name, float(words[2]), time.monotonic(), self.bed.counter.total(name)))
+                    self.fleet.record_call(gateway)
+                    out.append((name, float(words[2]), time.monotonic(), self.fleet.counter.total(name)))
                 calls.write(data)
         finally:
-            self.bed.seen.unanswered += len(out)
+            self.fleet.seen.unanswered += len(out)
             back.cancel()
             calls.close()
 
@@ -159,26 +159,26 @@
             parser.feed(data)
             while (reply := parser.gets()) is not False:
                 name, amount, at, before = out.popleft()
-                assert reply is not None, "an amount in doubt, though the counter answers all calls"
+                assert reply is not None, "an uncertain amount, though the counter answers all calls"
                 total = None if isinstance(reply, hiredis.ReplyError) else float(reply)
-                self.bed.seen.calls.append(ToldCall(
+                self.fleet.seen.calls.append(AnsweredCall(
                     gateway, self.name, name.rpartition(".")[0], name, amount, at, before, total,
                     time.monotonic()))
             writer.write(data)
-        writer.transport.abort()  # the aggregator is gone
+        writer.transport.abort()  # the aggregator has exited
 
 
 def process_sockets(process: pathlib.Path) -> set[str]:
-    """Inodes of the sockets that a process has open."""
+    """Inodes of the sockets that a process has open; none where it has exited."""
     try:
         links = [os.readlink(link) for link in (process / "fd").iterdir()]
     except OSError:
-        return set()  # it has ended meanwhile
+        return set()  # it has exited meanwhile
     return {match[1] for link in links if (match := SOCKET.fullmatch(link))}
 
 
 def session_of(inode: str) -> int:
-    """The session of the process that has this socket open."""
+    """The session of the process that has this socket open. Raises LookupError."""
     for process in pathlib.Path("/proc").iterdir():
         if process.name.isdecimal() and inode in process_sockets(process):
             return os.getsid(int(process.name))
@@ -186,7 +186,7 @@
 
 
 def socket_inode(port: int, peer_port: int) -> str:
-    """Of the connection on loopback that goes out from a port to another."""
+    """Inode of the loopback connection from a port to another. Raises LookupError."""
     for line in pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
         ports = tuple(int(address.rpartition(":")[2], 16) for address in fields[1:3])
@@ -195,8 +195,8 @@
     raise LookupError(f"no connection goes out from port {port}")
 
 
-class Bed:
-    """The roles of the play: the counter, the backends and the clients are in this process."""
+class Fleet:
+    """All roles of the play; the counter, the backends and the clients run in this process."""
 
     def __init__(self, folder: pathlib.Path, children: Children) -> None:
         self.folder, self.children, self.seen = folder, children, Observations()
@@ -213,10 +213,10 @@
         self.aggregators: dict[str, Aggregator] = {}
         self.gateways: list[Child] = []
         self.clients: list[RealGatewayClients] = []
-        self.thin_clients: list[RealGatewayClients] = []
-        self.thin_deployment = Deployment(THIN_SIZE, seed=7)
-        self.thin_deployment.first_gateways[:] = 0
-        self.dice = random.Random(7)
+        self.low_rate_clients: list[RealGatewayClients] = []
+        self.low_rate_deployment = Deployment(LOW_RATE_SIZE, seed=7)
+        self.low_rate_deployment.first_gateways[:] = 0
+        self.rng = random.Random(7)
         self.loading: list[asyncio.Task[None]] = []
         plans = [self.deployment.plan_of(customer) for customer in range(SIZE.customers)]
         self.hot = min(range(SIZE.customers), key=lambda customer: abs(plans[customer].rate - HOT_RATE))
@@ -228,10 +228,10 @@
         for number, child in enumerate(self.gateways):
             if inode in process_sockets(pathlib.Path("/proc") / str(child.pid)):
                 return number
-        session = session_of(inode)  # where the gateway is not the process that was started itself
+        session = session_of(inode)  # where the gateway is a child of the process that was started
         return [child.pid for child in self.gateways].index(session)
 
-    def note_call(self, gateway: int) -> None:
+    def record_call(self, gateway: int) -> None:
         self.seen.calls_made[gateway].append(time.monotonic())
 
     async def start(self) -> None:
@@ -250,12 +250,12 @@
             await self.relays[name].start()
         for name in self.addresses:
             await self.start_aggregator(name)
-        for made in self.aggregators.values():
-            await made.child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
+        for aggregator in self.aggregators.values():
+            await aggregator.child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
         await self.start_gateways()
 
     async def start_aggregator(self, name: str) -> None:
-        """It is listed at its relay's address."""
+        """Starts an aggregator that is listed at its relay's address."""
         self.aggregators[name] = await start_aggregator(
             self.children, self.deployment, name, f"{HOST}:{self.counter_port}", self.aggregator_list,
             self.addresses[name], self.relays[name].address)
@@ -264,8 +264,8 @@
         task = ClientsTask(
             SIZE, 7, 0, [f"{HOST}:{self.list_port}"], f"{HOST}:{self.counter_port}", self.ports)
         self.clients = [RealGatewayClients(task, self.deployment, ports, self.events) for ports in self.ports]
-        self.thin_clients = [
-            RealGatewayClients(task, self.thin_deployment, ports, self.events) for ports in self.ports]
+        self.low_rate_clients = [
+            RealGatewayClients(task, self.low_rate_deployment, ports, self.events) for ports in self.ports]
         for clients, ports in zip(self.clients, self.ports, strict=True):
             await clients.start()
             self.gateways.append(await start_gateway(
@@ -281,35 +281,36 @@
                 clients.source.stop()
         for task in self.loading:
             task.cancel()
-        self.loading = [asyncio.create_task(self.ask_for_thin_customers())] if on else []
+        self.loading = [asyncio.create_task(self.send_low_rate_requests())] if on else []
         if hot:
-            self.loading.append(asyncio.create_task(self.ask_for_the_hot_customer()))
+            self.loading.append(asyncio.create_task(self.send_hot_requests()))
 
-    async def ask_for_the_hot_customer(self) -> None:
-        """At each gateway as much as the quota allows at all of them."""
+    async def send_hot_requests(self) -> None:
+        """Requests at each gateway what the quota allows at all gateways together."""
         while True:
             for clients in self.clients:
                 clients.on_arrival(GeneratedRequest(self.hot, READ, SERVICE_SECONDS))
             await asyncio.sleep(1.0 / self.hot_rate)
 
-    async def ask_for_thin_customers(self) -> None:
+    async def send_low_rate_requests(self) -> None:
         while True:
-            for clients in self.thin_clients:
-                clients.on_arrival(GeneratedRequest(self.dice.choice(THIN_CUSTOMERS), READ, SERVICE_SECONDS))
-            await asyncio.sleep(1.0 / THIN_REQUESTS_PER_SECOND)
-
-    async def calls_end(self) -> None:
-        """Waits until gateways have told what they have to tell, and the counter has it."""
-        told = -1
-        while told < len(self.seen.calls):
-            told = len(self.seen.calls)
+            for clients in self.low_rate_clients:
+                clients.on_arrival(
+                    GeneratedRequest(self.rng.choice(LOW_RATE_CUSTOMERS), READ, SERVICE_SECONDS))
+            await asyncio.sleep(1.0 / LOW_RATE_REQUESTS_PER_SECOND)
+
+    async def wait_for_calls(self) -> None:
+        """Waits until gateways have reported all units, and the counter has them."""
+        answered = -1
+        while answered < len(self.seen.calls):
+            answered = len(self.seen.calls)
             await asyncio.sleep(SETTLE_SECONDS)
 
-    async def figures_between_calls(self) -> list[AggregatorFigures]:
-        """Of the aggregators, with none of their calls between: they refresh readings by themselves."""
+    async def figures_while_idle(self) -> list[AggregatorFigures]:
+        """The aggregators' figures, read while they make no call: they refresh readings at any time."""
         while True:
             calls = self.counter.calls
-            figures = [await read_figures(made) for made in self.aggregators.values()]
+            figures = [await read_figures(aggregator) for aggregator in self.aggregators.values()]
             await asyncio.sleep(ARRIVE_SECONDS)
             if calls == self.counter.calls:
                 return figures
@@ -330,77 +331,77 @@
         return sum(clients.answer_counts.failed for clients in self.clients)
 
     async def until(self, done: Callable[[], bool], within: float) -> None:
-        """Returns at the end of the time where it is not done by then: the tests judge that."""
+        """Waits until it is done or the time is over; the tests check which."""
         end = time.monotonic() + within
         while not done() and time.monotonic() < end:
             await asyncio.sleep(0.05)
 
 
-async def steady(bed: Bed) -> None:
-    seen = bed.seen
+async def steady(fleet: Fleet) -> None:
+    seen = fleet.seen
     seen.load_began = time.monotonic()
-    bed.load(True)
+    fleet.load(True)
     await asyncio.sleep(STEADY_SECONDS)
-    bed.load(False)
-    await bed.calls_end()
-    seen.steady_in = await bed.figures_between_calls()
-    seen.counter_calls, seen.steady_calls = bed.counter.calls, len(seen.calls)
-    told: defaultdict[str, float] = defaultdict(float)
+    fleet.load(False)
+    await fleet.wait_for_calls()
+    seen.steady_in = await fleet.figures_while_idle()
+    seen.counter_calls, seen.steady_calls = fleet.counter.calls, len(seen.calls)
+    answered: defaultdict[str, float] = defaultdict(float)
     for call in seen.calls:
-        told[call.name] += call.amount if call.total is not None else 0.0
-    seen.steady_told = dict(told)
-    seen.steady_added = {n: a for n, a in bed.counter.added.items() if not n.startswith("aggregator.")}
+        answered[call.name] += call.amount if call.total is not None else 0.0
+    seen.steady_answered = dict(answered)
+    seen.steady_added = {n: a for n, a in fleet.counter.added.items() if not n.startswith("aggregator.")}
 
 
-async def one_killed(bed: Bed) -> None:
-    """Until each gateway's calls for a customer of the killed one are answered by the other."""
-    seen = bed.seen
+async def kill_one(fleet: Fleet) -> None:
+    """Kills one, and waits until the other answers each gateway for a customer of the killed one."""
+    seen = fleet.seen
     before = {call.customer for call in seen.calls if call.aggregator == "aggregator-0"}
-    served, failed = bed.served(), bed.failed()
-    bed.load(True, hot=True)
+    served, failed = fleet.served(), fleet.failed()
+    fleet.load(True, hot=True)
     await asyncio.sleep(SETTLE_SECONDS)
     seen.killed_at = time.monotonic()
-    await bed.kill("aggregator-0")
-    begun = len(seen.calls)
+    await fleet.kill("aggregator-0")
+    calls_before = len(seen.calls)
 
     def moved() -> bool:
-        answered = {call.gateway for call in seen.calls[begun:]
+        answered = {call.gateway for call in seen.calls[calls_before:]
                     if call.customer in before and call.total is not None
                     and call.aggregator == "aggregator-1"}
         return len(answered) == GATEWAYS
 
-    await bed.until(moved, MOVED_WITHIN)
+    await fleet.until(moved, MOVED_WITHIN)
     if moved():
         seen.moved_after = time.monotonic() - seen.killed_at
-    seen.served_meanwhile = [after - b for after, b in zip(bed.served(), served, strict=True)]
-    seen.failed_meanwhile = bed.failed() - failed
+    seen.served_meanwhile = [after - b for after, b in zip(fleet.served(), served, strict=True)]
+    seen.failed_meanwhile = fleet.failed() - failed
 
 
-async def restarted_empty(bed: Bed) -> None:
-    """The one that is left ends and starts again at its address, within its lease in the list."""
-    seen = bed.seen
-    await bed.kill("aggregator-1")
+async def restart_without_state(fleet: Fleet) -> None:
+    """Kills the remaining one, and restarts it at the same address within its lease in the list."""
+    seen = fleet.seen
+    await fleet.kill("aggregator-1")
     seen.restarted, seen.restarted_at = "aggregator-1", time.monotonic()
-    await bed.start_aggregator("aggregator-1")
-    await bed.aggregators["aggregator-1"].child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
-    began, sent = time.monotonic(), bed.hot_sent()
+    await fleet.start_aggregator("aggregator-1")
+    await fleet.aggregators["aggregator-1"].child.wait_for_log("registered as", PEER_START_TIMEOUT_SECONDS)
+    began, sent = time.monotonic(), fleet.hot_sent()
     await asyncio.sleep(RESTARTED_SECONDS)
-    seen.hot_sent_after_restart = bed.hot_sent() - sent
+    seen.hot_sent_after_restart = fleet.hot_sent() - sent
     seen.hot_seconds_after_restart = time.monotonic() - began
 
 
-async def both_gone(bed: Bed) -> None:
-    seen = bed.seen
-    await bed.kill("aggregator-1")
-    await asyncio.sleep(SETTLE_SECONDS)  # readings at hand end
-    sent, began = bed.hot_sent(), time.monotonic()
-    served, failed, counted = bed.served(), bed.failed(), bed.counter.calls
-    await asyncio.sleep(ALONE_SECONDS)
-    seen.alone_seconds = time.monotonic() - began
-    seen.hot_sent_alone = bed.hot_sent() - sent
-    seen.alone_served = [after - before for after, before in zip(bed.served(), served, strict=True)]
-    seen.alone_failed = bed.failed() - failed
-    seen.counter_calls_alone = bed.counter.calls - counted
+async def kill_both(fleet: Fleet) -> None:
+    seen = fleet.seen
+    await fleet.kill("aggregator-1")
+    await asyncio.sleep(SETTLE_SECONDS)  # until readings of the counter are no longer valid
+    sent, began = fleet.hot_sent(), time.monotonic()
+    served, failed, counted = fleet.served(), fleet.failed(), fleet.counter.calls
+    await asyncio.sleep(LOCAL_SECONDS)
+    seen.local_seconds = time.monotonic() - began
+    seen.hot_sent_locally = fleet.hot_sent() - sent
+    seen.local_served = [after - before for after, before in zip(fleet.served(), served, strict=True)]
+    seen.local_failed = fleet.failed() - failed
+    seen.local_counter_calls = fleet.counter.calls - counted
 
 
 @pytest.fixture(scope="module")
@@ -408,15 +409,15 @@
     async def play() -> Observations:
         folder = tmp_path_factory.mktemp("aggregated")
         async with Children(folder) as children:
-            bed = Bed(folder, children)
-            await bed.start()
-            seen = bed.seen
-            await steady(bed)
-            plan = bed.deployment.plan_of(bed.hot)
+            fleet = Fleet(folder, children)
+            await fleet.start()
+            seen = fleet.seen
+            await steady(fleet)
+            plan = fleet.deployment.plan_of(fleet.hot)
             seen.hot_rate, seen.hot_burst = plan.rate, plan.burst
-            for part in (one_killed, restarted_empty, both_gone):
-                await part(bed)
-            bed.load(False)
+            for part in (kill_one, restart_without_state, kill_both):
+                await part(fleet)
+            fleet.load(False)
             return seen
 
     async def bounded() -> Observations:
@@ -434,13 +435,13 @@
     assert seen.counter_calls == sum(figures.calls_out for figures in seen.steady_in)
 
 
-def test_sums_at_the_counter_are_the_units_told(seen: Observations) -> None:
-    assert sum(seen.steady_told.values()) > 0
-    assert seen.steady_added == pytest.approx(seen.steady_told, rel=EXACT, abs=EXACT)
+def test_sums_at_the_counter_equal_the_units_answered(seen: Observations) -> None:
+    assert sum(seen.steady_answered.values()) > 0
+    assert seen.steady_added == pytest.approx(seen.steady_answered, rel=EXACT, abs=EXACT)
 
 
 @pytest.mark.parametrize("gateway", range(GATEWAYS))
-def test_each_gateway_keeps_to_its_budget(seen: Observations, gateway: int) -> None:
+def test_each_gateway_stays_within_its_call_budget(seen: Observations, gateway: int) -> None:
     made = seen.calls_made[gateway]
     assert len(made) > 0.5 * CALLS_PER_SECOND * STEADY_SECONDS
     for number, at in enumerate(made, start=1):
@@ -451,16 +452,17 @@
     assert seen.moved_after <= MOVED_WITHIN
 
 
-def test_gateways_go_on_serving_meanwhile(seen: Observations) -> None:
+def test_gateways_continue_serving_after_an_aggregator_is_killed(seen: Observations) -> None:
     assert all(served > 0 for served in seen.served_meanwhile)
     assert seen.failed_meanwhile == 0
 
 
-def test_totals_of_an_aggregator_that_starts_empty_go_on_from_the_counters(seen: Observations) -> None:
-    """They may be lower than the counter's only by what was given back and has not been forwarded yet.
+def test_totals_of_a_restarted_aggregator_continue_from_the_counters(seen: Observations) -> None:
+    """Guards against totals that start from 0 again, so that units beyond the quota are admitted.
 
-    Calls of two gateways come by two connections: one made after another may be taken before it. So what was
-    given back by calls made before the answer counts.
+    A total may be lower than the counter's only by units that were returned and not forwarded yet. Calls of
+    two gateways arrive by two connections, possibly in another order. So units returned by calls made before
+    the answer are allowed for.
     """
     calls = [call for call in seen.calls if call.at >= seen.restarted_at and call.total is not None]
     known = 0
@@ -476,19 +478,19 @@
     assert known
 
 
-def test_a_restart_makes_no_burst_of_units(seen: Observations) -> None:
-    """What is not counted yet is at the most what was asked for in the time until it is."""
+def test_an_aggregator_restart_admits_no_burst_of_units(seen: Observations) -> None:
+    """Units that are not counted yet are at most those requested in the time until they are."""
     asked = GATEWAYS * seen.hot_rate
     most = seen.hot_rate * seen.hot_seconds_after_restart + asked * COUNTED_LATE_SECONDS
     assert 0 < seen.hot_sent_after_restart <= most
 
 
 def test_without_aggregators_gateways_go_by_even_slices(seen: Observations) -> None:
-    assert all(served > 0 for served in seen.alone_served)
-    assert seen.alone_failed == 0
-    quota = seen.hot_rate * seen.alone_seconds
-    assert 0.5 * quota < seen.hot_sent_alone <= quota + seen.hot_burst  # slices of the store add up to it
+    assert all(served > 0 for served in seen.local_served)
+    assert seen.local_failed == 0
+    quota = seen.hot_rate * seen.local_seconds
+    assert 0.5 * quota < seen.hot_sent_locally <= quota + seen.hot_burst  # slices of the burst add up to it
 
 
-def test_without_aggregators_gateways_leave_the_counter_alone(seen: Observations) -> None:
-    assert seen.counter_calls_alone == 0
+def test_without_aggregators_gateways_do_not_call_the_counter(seen: Observations) -> None:
+    assert seen.local_counter_calls == 0
--- a/tests/test_scale_counter.py
+++ b/tests/test_scale_counter.py
@@ -1,4 +1,4 @@
-"""The counter's stand-in against the published form of its calls, by the gateway's own client and by hand."""
+"""The substitute for the counter against the published protocol, by the gateway's client and raw calls."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from embersill.lab.scale.resp import MAX_QUEUED_CALLS, AddCall, CounterModel, bulk_total
 from embersill.net.counter import Counter
 
-WITHIN = 10.0  # seconds for anything here
+WITHIN = 10.0  # seconds for one test
 
 
 class Caller:
-    """A connection that writes calls and reads replies as they are."""
+    """A connection that writes raw calls and reads raw replies."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -37,7 +37,7 @@
 
 
 class ManualClock:
-    """Stands still until it is moved."""
+    """A clock that moves only when a test moves it."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -76,7 +76,7 @@
     serve(unlimited(), test)
 
 
-def test_a_call_that_comes_in_pieces_is_answered_once_it_is_whole() -> None:
+def test_a_call_that_arrives_in_pieces_is_answered_once_it_is_complete() -> None:
     async def test(port: int) -> None:
         caller = await Caller.open(port)
         text = hiredis.pack_command(("CNT.ADD", "a", "3", "4000"))  # type: ignore[arg-type]
@@ -88,7 +88,7 @@
     serve(unlimited(), test)
 
 
-def test_what_is_no_call_gets_an_error_and_adds_nothing() -> None:
+def test_invalid_calls_get_an_error_and_add_nothing() -> None:
     model = unlimited()
 
     async def test(port: int) -> None:
@@ -105,21 +105,21 @@
     serve(model, test)
 
 
-def test_a_name_lives_from_its_first_call_and_no_longer_than_the_most() -> None:
+def test_a_names_life_starts_with_its_first_call_and_is_not_extended() -> None:
     clock = ManualClock()
     model = CounterModel(clock, 1, 0.0)
-    model.reserve("a")  # the first call of all; names that have ended are cleared with some calls only
+    model.reserve("a")  # the first call: expired names are removed only at some calls
     assert model.add(AddCall("a", 1.0, 4.0)) == 1.0
     clock.now += 3.9
     assert model.add(AddCall("a", 1.0, 4.0)) == 2.0
-    clock.now += 0.2  # over the first call's life, within the second's
+    clock.now += 0.2  # beyond the first call's life, within the second's
     assert model.add(AddCall("a", 1.0, 4.0)) == 1.0
     clock.now += 4.1
     model.remove_expired()
     assert not model.names
 
 
-def test_a_life_counts_as_a_minute_at_the_most() -> None:
+def test_a_names_life_is_at_most_a_minute() -> None:
     clock = ManualClock()
     model = CounterModel(clock, 1, 0.0)
 
@@ -137,13 +137,13 @@
     assert bulk_total(0.1234567) == b"$9\r\n0.1234567\r\n"
 
 
-def test_calls_beyond_a_parts_line_are_turned_away_and_add_nothing() -> None:
+def test_calls_beyond_a_parts_queue_are_rejected_and_add_nothing() -> None:
     clock = ManualClock()
     model = CounterModel(clock, 1, 500.0)
     served = 0
     while model.reserve("a") is not None:
         served += 1
-    # those in line, and the one that is being served
+    # the queued calls, and the one that is being served
     assert served == MAX_QUEUED_CALLS + 1
     assert model.rejected_calls == 1
     clock.now += 1.0 / 500.0
@@ -151,60 +151,60 @@
     assert model.reserve("a") is None
 
 
-def test_each_part_has_a_line_of_its_own() -> None:
+def test_each_part_has_a_queue_of_its_own() -> None:
     model = CounterModel(ManualClock(), 3, 500.0)
     while model.reserve("a") is not None:
         pass
     assert any(model.reserve(name) is not None for name in "bcdefgh")
 
 
-def test_busy_replies_keep_their_place_among_the_others() -> None:
+def test_busy_replies_keep_the_order_of_the_calls() -> None:
     model = CounterModel(time.monotonic, 1, 500.0)
 
     async def test(port: int) -> None:
         caller = await Caller.open(port)
-        many = 3 * MAX_QUEUED_CALLS
-        for _ in range(many):
+        count = 3 * MAX_QUEUED_CALLS
+        for _ in range(count):
             caller.write("CNT.ADD", "a", "1", "4000")
         caller.write("PING")
-        replies = [await caller.reply() for _ in range(many)]
+        replies = [await caller.reply() for _ in range(count)]
         served = [reply for reply in replies if not reply.startswith(b"-BUSY")]
         assert served == [bulk_total(float(n)) for n in range(1, len(served) + 1)]
-        assert replies.count(b"-BUSY the part has no room\r\n") == model.rejected_calls == many - len(served)
+        assert replies.count(b"-BUSY the part has no room\r\n") == model.rejected_calls == count - len(served)
         assert model.rejected_calls > 0
         assert await caller.reply() == b"+PONG\r\n"
 
     serve(model, test)
 
 
-def test_the_gateways_client_understands_it() -> None:
-    heard: list[CounterCallEnded] = []
+def test_the_gateways_client_reads_its_totals() -> None:
+    results: list[CounterCallEnded] = []
 
     async def test(port: int) -> None:
-        client = Counter(time.monotonic, (HOST, port), WITHIN / 2, 1.0, heard.append)
+        client = Counter(time.monotonic, (HOST, port), WITHIN / 2, 1.0, results.append)
         for _ in range(100):
             client.add("customer.1", 1.0, 4.0)
-        while len(heard) < 100:
+        while len(results) < 100:
             await asyncio.sleep(0.005)
         client.close()
 
     serve(unlimited(), test)
-    assert {c.outcome for c in heard} == {Outcome.SERVED}
-    assert [c.total for c in heard] == [float(n) for n in range(1, 101)]
+    assert {c.outcome for c in results} == {Outcome.SERVED}
+    assert [c.total for c in results] == [float(n) for n in range(1, 101)]
 
 
-def test_the_gateways_client_takes_busy_for_turned_away() -> None:
+def test_the_gateways_client_reads_busy_as_rejected() -> None:
     model = CounterModel(ManualClock(), 1, 500.0)
     while model.reserve("customer.1") is not None:
         pass
-    heard: list[CounterCallEnded] = []
+    results: list[CounterCallEnded] = []
 
     async def test(port: int) -> None:
-        client = Counter(time.monotonic, (HOST, port), WITHIN / 2, 1.0, heard.append)
+        client = Counter(time.monotonic, (HOST, port), WITHIN / 2, 1.0, results.append)
         client.add("customer.1", 1.0, 4.0)
-        while not heard:
+        while not results:
             await asyncio.sleep(0.005)
         client.close()
 
     serve(model, test)
-    assert heard[0].outcome is Outcome.REJECTED
+    assert results[0].outcome is Outcome.REJECTED
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow gateways of scale runs: they must do what real ones do, at equal load. Verdicts rest on counts."""
+"""Hollow gateways of scale runs must behave like real ones at equal load; all checks are of counts."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 from embersill.lab.scale.quota_account import replay_events
 from embersill.lab.scale.records import FleetSize
 
-SIGMAS = 5.0  # standard deviations that two means of the same thing may be apart: chance alone takes them
-# further once in two million comparisons
+# standard deviations allowed between two means of the same measure: chance exceeds them once in two million
+# comparisons
+SIGMAS = 5.0
 # every customer enters through every gateway, so that all gateways have the same load
 EVEN_FLEET = FleetSize(
     gateways=12, backends=60, customers=200, spread=12, requests_per_second=20.0, changes_per_second=2.0,
     restarted_share=0.0)
-# the same with customers that enter through few gateways each, whose parts of quotas hold a request or two
+# the same with customers that enter through few gateways each, whose quota slices hold a request or two
 NARROW_FLEET = replace(EVEN_FLEET, spread=4)
 REAL = 3
-EDGE_CALLS = 2  # calls of one gateway that another may have had just outside of the window: one at each end
+EDGE_CALLS = 2  # difference allowed between gateways: one call at each end of the measured time
 
 
 def play(folder: pathlib.Path, size: FleetSize, seconds: float, real: int) -> PlayResult:
@@ -47,17 +48,17 @@
 
 
 def variance_of_mean(counts: Sequence[float]) -> float:
-    """By what the gateways show among themselves, and at least that of independent events, their mean."""
+    """From the variance among gateways, which is taken as at least that of independent events."""
     return max(statistics.variance(counts), statistics.fmean(counts), 1.0) / len(counts)
 
 
 def tolerance(hollow: Sequence[float], real: Sequence[float]) -> float:
-    """Of the difference between the means, by counting statistics."""
+    """Largest difference allowed between the two means, by counting statistics."""
     return SIGMAS * sqrt(variance_of_mean(hollow) + variance_of_mean(real))
 
 
 @pytest.mark.parametrize("name", ["requests", "served", "refused", "counter_calls"])
-def test_hollow_gateways_do_as_much_as_real_ones(side_by_side: PlayResult, name: str) -> None:
+def test_hollow_gateways_have_the_counts_of_real_ones(side_by_side: PlayResult, name: str) -> None:
     hollow, real = figures(side_by_side.hollow, name), figures(side_by_side.real, name)
     assert len(hollow) == EVEN_FLEET.gateways - REAL and len(real) == REAL
     assert abs(statistics.fmean(hollow) - statistics.fmean(real)) <= tolerance(hollow, real), (hollow, real)
@@ -76,13 +77,13 @@
     assert apart <= SIGMAS * sqrt(variance), (hollow, real)
 
 
-def test_no_module_gives_up_a_request_that_was_served(side_by_side: PlayResult) -> None:
-    """Each attempt here is served; the client has its answer before the module hears of it."""
+def test_no_gateway_fails_a_request_that_was_served(side_by_side: PlayResult) -> None:
+    """Each attempt here is served; the client has its answer before the module is notified."""
     assert not [reason for reason in side_by_side.given_up if reason.startswith("after")]
 
 
 def test_hollow_gateways_call_the_list_service_as_real_ones_do(side_by_side: PlayResult) -> None:
-    """Each change ends each gateway's watch: but for the window's edges the calls are the same in number."""
+    """Each change ends each gateway's watch, so gateways make equally many calls but for the edges."""
     hollow, real = side_by_side.hollow, side_by_side.real
     calls = figures(hollow, "list_calls") + figures(real, "list_calls")
     assert max(calls) - min(calls) <= EDGE_CALLS, calls
@@ -93,7 +94,7 @@
 
 
 def test_a_counter_call_has_as_many_bytes_as_at_real_ones(side_by_side: PlayResult) -> None:
-    """Calls have one form; the amount and the total have a few digits more or less."""
+    """Calls have the same format; only the digits of amounts and totals differ in number."""
     for name, most_apart in (("counter_bytes_out", 4.0), ("counter_bytes_in", 4.0)):
         sides = []
         for side in (side_by_side.hollow, side_by_side.real):
@@ -105,17 +106,17 @@
     assert broken_bounds(side_by_side.play) == []
 
 
-def test_a_count_over_its_bound_is_told(side_by_side: PlayResult) -> None:
+def test_a_count_over_its_bound_is_reported(side_by_side: PlayResult) -> None:
     play = side_by_side.play
     for bound in bounds(play):
         over = 1.01 * bound.most
         changed = replace(play, counts={**play.counts, bound.measure: over})
-        told = [broken for broken in broken_bounds(changed) if broken.measure == bound.measure]
-        assert len(told) == 1, bound
-        assert f"{bound.measure} is {over:.6g}, over {bound.most:.6g}" in str(told[0])
+        reported = [broken for broken in broken_bounds(changed) if broken.measure == bound.measure]
+        assert len(reported) == 1, bound
+        assert f"{bound.measure} is {over:.6g}, over {bound.most:.6g}" in str(reported[0])
 
 
-def test_gateways_that_restart_together_get_the_whole_list_once(tmp_path: pathlib.Path) -> None:
+def test_gateways_that_restart_together_get_the_full_list_once(tmp_path: pathlib.Path) -> None:
     result = play(tmp_path, replace(SMALL_BASE, restarted_share=0.5), 2.0, 0)
     restarted = SMALL_BASE.gateways // 2
     counts = result.play.counts
@@ -158,13 +159,13 @@
     assert 1.4 * 2 ** quota_tier(300.0, True) <= 300.0 / 1.5
 
 
-def test_the_quota_account_puts_events_of_all_processes_in_one_order() -> None:
+def test_quota_events_of_all_processes_are_replayed_in_one_order() -> None:
     deployment = Deployment(replace(EVEN_FLEET, customers=1, spread=1), 1)
     deployment.tiers, deployment.plans = [0], [QuotaPlan("p", 1.0, 2.0)]
     one = QuotaEvents([10.0, 10.2, 12.0], [0, 0, 0], [True, True, False])
     two = QuotaEvents([10.1, 10.3, 9.0], [0, 0, 0], [True, False, False])
-    # full with 2 at 9.0 (a refusal with room); 10.0 and 10.1 take them; at 10.2 a tenth or two is there;
-    # 10.3 is refused rightly; at 12.0 there is room again
+    # 9.0: full with 2 units, refused within the quota; 10.0 and 10.1 take them; 10.2: 0.1 to 0.2 units, sent
+    # beyond the quota; 10.3: refused for lack of units; 12.0: refused within the quota
     outcome = replay_events(deployment, [one, two], 9.0, 13.0)
     assert (outcome.sent, outcome.refused) == (3, 3)
     assert (outcome.beyond_quota, outcome.refused_with_room) == (1, 2)
