--- a/embersill/lab/scale/aggregation_runs.py
+++ b/embersill/lab/scale/aggregation_runs.py
@@ -22,7 +22,7 @@
 
 from tqdm import tqdm
 
-from embersill.lab.scale.axes import SEEDS
+from embersill.lab.scale.axes import SEED_COUNT
 from embersill.lab.scale.children import ChildFailed
 from embersill.lab.scale.list_service import ListServiceFailed
 from embersill.lab.scale.plan import PlayPlan
@@ -30,50 +30,50 @@
 from embersill.lab.scale.records import FORMAT_VERSION, BadRecord, FleetSize, Play, Record
 from embersill.lab.scale.records import read_record, write_record
 
-BEFORE, AFTER, FAILOVER = "before", "after", "failover"  # the axes; the value is the number of aggregators
-PART_CALLS = 540.0  # calls a second that a part of the counter serves
-PLAYS = 3
+WITHOUT_AGGREGATORS, WITH_AGGREGATORS, FAILOVER = "before", "after", "failover"  # the axes; the value is the number of aggregators
+CALLS_PER_COUNTER_PART = 540.0  # calls a second that a part of the counter serves
+PLAYS_PER_SIZE = 3
 SECONDS, WARM_UP_SECONDS = 5.0, 4.0
 FAILOVER_SECONDS = 18.0  # a lease of 10 s runs out in it, and gateways leave a counter alone for up to 2 s
-AGGREGATORS = (2, 6)
+AGGREGATOR_COUNTS = (2, 6)
 REAL_GATEWAYS = 1
 WORKERS = 3
-FEW = FleetSize(
+SMALL_FLEET = FleetSize(
     gateways=300, backends=100, customers=2_000, spread=4, requests_per_second=2.0, changes_per_second=0.5,
-    restarted_share=0.0, counter_parts=1, counter_calls_per_second=PART_CALLS)
+    restarted_share=0.0, counter_parts=1, counter_calls_per_second=CALLS_PER_COUNTER_PART)
 FLEETS = {
-    "narrow": FEW,
-    "everywhere": replace(FEW, spread=FEW.gateways),
+    "narrow": SMALL_FLEET,
+    "everywhere": replace(SMALL_FLEET, spread=SMALL_FLEET.gateways),
     "many": replace(
-        FEW, gateways=1_100, customers=39_000, spread=16, requests_per_second=1.0, counter_parts=3),
-    "crowded": replace(FEW, gateways=1_100, spread=1_100, requests_per_second=1.0),
+        SMALL_FLEET, gateways=1_100, customers=39_000, spread=16, requests_per_second=1.0, counter_parts=3),
+    "crowded": replace(SMALL_FLEET, gateways=1_100, spread=1_100, requests_per_second=1.0),
 }
-LOAD = "machine_load"  # mean of the last minute at a play's end: processes that ran or would have
+MACHINE_LOAD = "machine_load"  # mean of the last minute at a play's end: processes that ran or would have
 
 
-def seed_of(fleet: str, number: int) -> int:
-    return zlib.crc32(f"aggregation {fleet} {number}".encode()) % SEEDS
+def play_seed(fleet: str, number: int) -> int:
+    return zlib.crc32(f"aggregation {fleet} {number}".encode()) % SEED_COUNT
 
 
 def make_plan(axis: str, fleet: str, size: FleetSize, number: int, seconds: float) -> PlayPlan:
     return PlayPlan(
-        axis, float(size.aggregators), number, seed_of(fleet, number), size, seconds, WARM_UP_SECONDS,
+        axis, float(size.aggregators), number, play_seed(fleet, number), size, seconds, WARM_UP_SECONDS,
         WORKERS, REAL_GATEWAYS)
 
 
 def plan_comparison(fleet: str) -> list[PlayPlan]:
     """One fleet without aggregators and with each number of them, by turns."""
-    sizes = [replace(FLEETS[fleet], aggregators=number) for number in (0, *AGGREGATORS)]
+    sizes = [replace(FLEETS[fleet], aggregators=number) for number in (0, *AGGREGATOR_COUNTS)]
     return [
-        make_plan(AFTER if size.aggregators else BEFORE, fleet, size, number, SECONDS)
-        for number in range(PLAYS) for size in sizes]
+        make_plan(WITH_AGGREGATORS if size.aggregators else WITHOUT_AGGREGATORS, fleet, size, number, SECONDS)
+        for number in range(PLAYS_PER_SIZE) for size in sizes]
 
 
 def plan_failover() -> list[PlayPlan]:
     """One aggregator is killed."""
-    sizes = [replace(FEW, aggregators=number, aggregators_killed=1) for number in AGGREGATORS]
+    sizes = [replace(SMALL_FLEET, aggregators=number, aggregators_killed=1) for number in AGGREGATOR_COUNTS]
     return [make_plan(FAILOVER, "narrow", size, number, FAILOVER_SECONDS)
-            for size in sizes for number in range(PLAYS)]
+            for size in sizes for number in range(PLAYS_PER_SIZE)]
 
 
 def plan_all(fleets: Iterable[str]) -> list[PlayPlan]:
@@ -88,10 +88,10 @@
 async def play_once(plan: PlayPlan) -> Play:
     with tempfile.TemporaryDirectory(prefix="embersill-scale-") as folder:
         result = await run_play(plan, pathlib.Path(folder))
-    return replace(result.play, times=result.play.times | {LOAD: os.getloadavg()[0]})
+    return replace(result.play, times=result.play.times | {MACHINE_LOAD: os.getloadavg()[0]})
 
 
-def open_record(path: pathlib.Path) -> Record:
+def open_or_create_record(path: pathlib.Path) -> Record:
     """The record so far: plays that it holds are not played again."""
     command = shlex.join(["python", "-m", "embersill.lab.scale.aggregation_runs", *sys.argv[1:]])
     taken = datetime.now(UTC).isoformat(timespec="seconds")
@@ -103,7 +103,7 @@
 
 def play_all(plans: Iterable[PlayPlan], path: pathlib.Path) -> None:
     """Plays one after the other; the record is written after each."""
-    record = open_record(path)
+    record = open_or_create_record(path)
     left = [plan for plan in plans if not is_played(plan, record.plays)]
     for plan in tqdm(left, unit="play", disable=None):
         record = replace(record, plays=(*record.plays, asyncio.run(play_once(plan))))
--- a/embersill/lab/scale/aggregation_tables.py
+++ b/embersill/lab/scale/aggregation_tables.py
@@ -12,14 +12,15 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from embersill.lab.scale.aggregation_runs import AFTER, BEFORE, FAILOVER, LOAD
+from embersill.lab.scale.aggregation_runs import WITH_AGGREGATORS, WITHOUT_AGGREGATORS, FAILOVER, MACHINE_LOAD
 from embersill.lab.scale.capacity import (
-    BLANK, DIFFERS, DONE, BadPage, as_table, differences, filled_tables, replace_tables,
+    DIFFERS, DONE, EMPTY_CELL, BadPage, find_differences, find_nonempty_tables, markdown_table,
+    replace_tables,
 )
-from embersill.lab.scale.capacity_model import number
+from embersill.lab.scale.capacity_model import format_number
 from embersill.lab.scale.records import BadRecord, FleetSize, Play, Record, read_record
 
-BAD_USE = 2
+USAGE_ERROR = 2
 PERCENT, CORE_PERCENT = 100.0, 100.0
 
 
@@ -27,12 +28,12 @@
 class Column:
     """One measure of the plays."""
 
-    head: str
+    header: str
     measure: str
     factor: float = 1.0
 
 
-COUNTS = (
+COUNT_COLUMNS = (
     Column("counter calls/s, fleet", "counter_calls_fleet"),
     Column("of these turned away, %", "counter_busy_share", PERCENT),
     Column("calls/s in, all aggregators", "aggregator_calls_in"),
@@ -44,13 +45,13 @@
     Column("refused with room, %", "refused_with_room_share", PERCENT),
     Column("beyond quota, %", "beyond_quota_share", PERCENT),
 )
-TIMES = (
+TIME_COLUMNS = (
     Column("aggregators' CPU, % of a core, sum", "aggregator_cpu_share", CORE_PERCENT),
     Column("an aggregator's memory, MB", "aggregator_memory_mb"),
     Column("module, us a request", "module_us_per_request"),
     Column("added p50, ms", "added_p50_ms"),
     Column("added p99, ms", "added_p99_ms"),
-    Column("load of the machine", LOAD),
+    Column("load of the machine", MACHINE_LOAD),
 )
 FAILOVER_COLUMNS = (
     Column("hollow gateways that got there", "failover_gateways"),
@@ -60,33 +61,33 @@
     Column("longest s", "failover_answered_longest_s"),
     Column("refused with room, %", "refused_with_room_share", PERCENT),
     Column("beyond quota, %", "beyond_quota_share", PERCENT),
-    Column("load of the machine", LOAD),
+    Column("load of the machine", MACHINE_LOAD),
 )
-FLEET_HEAD = ("gateways", "customers", "spread", "parts", "aggregators", "plays")
+FLEET_HEADER = ("gateways", "customers", "spread", "parts", "aggregators", "plays")
 
 
-def figures(plays: Iterable[Play], column: Column) -> list[float]:
+def column_values(plays: Iterable[Play], column: Column) -> list[float]:
     """The measure in each play that has it."""
     both = [play.counts | play.times for play in plays]
     return [column.factor * play[column.measure] for play in both if column.measure in play]
 
 
-def cell(plays: Sequence[Play], column: Column) -> str:
+def median_cell(plays: Sequence[Play], column: Column) -> str:
     """The median of the plays, with the least and the most where they differ."""
-    found = figures(plays, column)
+    found = column_values(plays, column)
     if not found:
-        return BLANK
-    middle, least, most = (number(f(found)) for f in (statistics.median, min, max))
+        return EMPTY_CELL
+    middle, least, most = (format_number(f(found)) for f in (statistics.median, min, max))
     return middle if least == most else f"{middle} ({least} to {most})"
 
 
 def fleet_cells(size: FleetSize, plays: Sequence[Play]) -> list[str]:
-    spread = "all" if size.spread == size.gateways else number(size.spread)
-    return [number(size.gateways), number(size.customers), spread, number(size.counter_parts),
-            number(size.aggregators), number(len(plays))]
+    spread = "all" if size.spread == size.gateways else format_number(size.spread)
+    return [format_number(size.gateways), format_number(size.customers), spread, format_number(size.counter_parts),
+            format_number(size.aggregators), format_number(len(plays))]
 
 
-def by_size(record: Record, axes: Sequence[str]) -> dict[FleetSize, list[Play]]:
+def plays_by_size(record: Record, axes: Sequence[str]) -> dict[FleetSize, list[Play]]:
     """The plays of these axes by size, smallest first."""
     found: dict[FleetSize, list[Play]] = {}
     for play in record.plays:
@@ -102,20 +103,20 @@
 
 def size_table(record: Record, axes: Sequence[str], columns: Sequence[Column]) -> str:
     """One row for each size."""
-    head = [*FLEET_HEAD, *(column.head for column in columns)]
-    rows = [[*fleet_cells(size, plays), *(cell(plays, column) for column in columns)]
-            for size, plays in by_size(record, axes).items()]
-    return as_table(head, rows)
+    head = [*FLEET_HEADER, *(column.header for column in columns)]
+    rows = [[*fleet_cells(size, plays), *(median_cell(plays, column) for column in columns)]
+            for size, plays in plays_by_size(record, axes).items()]
+    return markdown_table(head, rows)
 
 
 def play_table(record: Record, axis: str, columns: Sequence[Column]) -> str:
     """One row for each play."""
     plays = [play for play in record.plays if play.axis == axis]
     plays.sort(key=lambda play: (play.size.aggregators, play.number))
-    head = [*FLEET_HEAD[:-1], "play", *(column.head for column in columns)]
-    rows = [[*fleet_cells(play.size, [play])[:-1], str(play.number), *(cell([play], c) for c in columns)]
+    head = [*FLEET_HEADER[:-1], "play", *(column.header for column in columns)]
+    rows = [[*fleet_cells(play.size, [play])[:-1], str(play.number), *(median_cell([play], c) for c in columns)]
             for play in plays]
-    return as_table(head, rows)
+    return markdown_table(head, rows)
 
 
 def run_table(record: Record) -> str:
@@ -124,33 +125,33 @@
     rates = sorted({(play.size.gateways, play.size.requests_per_second) for play in record.plays})
     seconds = sorted({(play.axis, play.seconds) for play in record.plays})
     rows = [("taken", record.taken), ("cores", str(record.cores)),
-            *((f"measured seconds of a play, {axis}", number(length)) for axis, length in seconds),
-            *((f"requests/s at a gateway, of {number(fleet)}", number(rate)) for fleet, rate in rates),
+            *((f"measured seconds of a play, {axis}", format_number(length)) for axis, length in seconds),
+            *((f"requests/s at a gateway, of {format_number(fleet)}", format_number(rate)) for fleet, rate in rates),
             ("calls/s that a part of the counter serves",
-             ", ".join(sorted({number(p.size.counter_calls_per_second) for p in record.plays}))),
+             ", ".join(sorted({format_number(p.size.counter_calls_per_second) for p in record.plays}))),
             ("calls/s and burst of a gateway's budget",
-             "; ".join(sorted({f"{number(p.size.gateway_calls_per_second)} and "
-                               f"{number(p.size.gateway_calls_burst)}" for p in record.plays}))),
+             "; ".join(sorted({f"{format_number(p.size.gateway_calls_per_second)} and "
+                               f"{format_number(p.size.gateway_calls_burst)}" for p in record.plays}))),
             ("seeds", ", ".join(map(str, seeds)))]
-    return as_table(("what", "of the run"), rows)
+    return markdown_table(("what", "of the run"), rows)
 
 
 def build_tables(record: Record) -> dict[str, str]:
     """All tables by name."""
     return {
         "run": run_table(record),
-        "before_after": size_table(record, (BEFORE, AFTER), COUNTS),
-        "before_after_times": size_table(record, (BEFORE, AFTER), TIMES),
+        "before_after": size_table(record, (WITHOUT_AGGREGATORS, WITH_AGGREGATORS), COUNT_COLUMNS),
+        "before_after_times": size_table(record, (WITHOUT_AGGREGATORS, WITH_AGGREGATORS), TIME_COLUMNS),
         "failover": play_table(record, FAILOVER, FAILOVER_COLUMNS),
     }
 
 
 def check_page(path: pathlib.Path, page: str) -> list[str]:
     """The rows that are not as generated; without a record the tables have to be empty."""
-    return differences(page, build_tables(read_record(path))) if path.exists() else filled_tables(page)
+    return find_differences(page, build_tables(read_record(path))) if path.exists() else find_nonempty_tables(page)
 
 
-def run(told: argparse.Namespace) -> int:
+def write_or_check(told: argparse.Namespace) -> int:
     page = told.page.read_text()
     if not told.check:
         told.page.write_text(replace_tables(page, build_tables(read_record(told.record))))
@@ -172,10 +173,10 @@
                         help="write nothing; exit with 1 if a row of the page is not as generated")
     told = parser.parse_args(arguments)
     try:
-        return run(told)
+        return write_or_check(told)
     except (BadRecord, BadPage, OSError) as error:
         print(error, file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
 
 
 if __name__ == "__main__":
--- a/embersill/lab/scale/arguments.py
+++ b/embersill/lab/scale/arguments.py
@@ -6,9 +6,9 @@
 import pathlib
 
 from embersill.lab.scale.axes import AXIS_NAMES, PLAYS, SECONDS
-from embersill.lab.scale.records import BUDGET
+from embersill.lab.scale.records import DEFAULT_AGGREGATION
 
-RECORD = "record.json"
+RECORD_FILE = "record.json"
 DEFAULT_PROCESSES = 4
 
 
@@ -31,9 +31,9 @@
                       help="calls a second that each part serves (default: no limit)")
     made.add_argument("--aggregators", type=int, metavar="N", default=0,
                       help="processes between gateways and counter (default: none)")
-    made.add_argument("--gateway-calls", type=float, metavar="R", default=BUDGET.calls_per_second,
+    made.add_argument("--gateway-calls", type=float, metavar="R", default=DEFAULT_AGGREGATION.calls_per_second,
                       help="counter calls a second of a gateway, with aggregators (default %(default)g)")
-    made.add_argument("--gateway-burst", type=float, metavar="N", default=BUDGET.burst,
+    made.add_argument("--gateway-burst", type=float, metavar="N", default=DEFAULT_AGGREGATION.burst,
                       help="of them, that a gateway may save up (default %(default)g)")
-    made.add_argument("--out", type=pathlib.Path, metavar="DIR", help=f"keep {RECORD} and plots there")
+    made.add_argument("--out", type=pathlib.Path, metavar="DIR", help=f"keep {RECORD_FILE} and plots there")
     made.add_argument("--resume", action="store_true", help="go on with what --out holds of the same plays")
--- a/embersill/lab/scale/bounds.py
+++ b/embersill/lab/scale/bounds.py
@@ -16,16 +16,16 @@
 
 CALLS_PER_CUSTOMER = 2.0  # counter calls a second for one customer at one gateway: its demand is added once a
 # second, and a second without demand is read once
-CALLS_PER_THIN_REQUEST = 3.0  # where a gateway's part of a quota holds no request: one to read the level, one
+CALLS_PER_LOW_RATE_REQUEST = 3.0  # where a gateway's part of a quota holds no request: one to read the level, one
 # to tell what was sent on or given back, one to put the sum right
-WIDE_GATEWAYS, WIDE_REQUESTS = 4, 2.0  # spread from which a gateway's part must hold two requests
+WIDE_SPREAD, MIN_REQUESTS_AT_WIDE_SPREAD = 4, 2.0  # spread from which a gateway's part must hold two requests
 LONGEST_AMOUNT = "-1.23456789e-09"  # nine digits
 LONGEST_TOTAL = b"$13\r\n-1.234567e-09\r\n"  # seven digits
-BUSY_BYTES = 64  # of a reply that turns a call away, at the most
-HEAD_BYTES = 400  # of an HTTP answer's head, at the most
-LIST_REQUEST_BYTES = len(
+MAX_BUSY_BYTES = 64  # of a reply that turns a call away, at the most
+MAX_HEAD_BYTES = 400  # of an HTTP answer's head, at the most
+MAX_LIST_REQUEST_BYTES = len(
     "GET /v1/endpoints?since=18446744073709551615&timeout_ms=60000 HTTP/1.1\r\nHost: 127.0.0.1:65535\r\n\r\n")
-LONGEST_GENERATION = 2**64
+MAX_GENERATION = 2**64
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,11 +37,11 @@
     number: int
     measure: str
     found: float
-    most: float
+    max_value: float
 
     def __str__(self) -> str:
         return (f"{self.axis}={self.value:g}, play {self.number}: {self.measure} is {self.found:.6g}, "
-                f"over {self.most:.6g}")
+                f"over {self.max_value:.6g}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,41 +49,41 @@
     """The most that a measure may be."""
 
     measure: str
-    most: float
+    max_value: float
 
 
 def broken_bounds(play: Play) -> list[BrokenBound]:
     """All bounds that this play's counts break."""
     return [
-        BrokenBound(play.axis, play.value, play.number, bound.measure, found, bound.most)
-        for bound in bounds(play)
-        if (found := play.counts.get(bound.measure)) is not None and found > bound.most]
+        BrokenBound(play.axis, play.value, play.number, bound.measure, found, bound.max_value)
+        for bound in protocol_bounds(play)
+        if (found := play.counts.get(bound.measure)) is not None and found > bound.max_value]
 
 
-def bounds(play: Play) -> Iterator[Bound]:
+def protocol_bounds(play: Play) -> Iterator[Bound]:
     """The bounds at this play's size. One event more a window accounts for the window's edges."""
     size, counts, edge = play.size, play.counts, 1.0 / play.seconds
     calls = CALLS_PER_CUSTOMER * counts["customers_per_gateway"] * (1.0 + edge)
-    if has_thin_plans(size, play.seed):
-        calls += CALLS_PER_THIN_REQUEST * size.requests_per_second + 4.0 * edge
+    if has_low_rate_plans(size, play.seed):
+        calls += CALLS_PER_LOW_RATE_REQUEST * size.requests_per_second + 4.0 * edge
     if size.aggregators:
         calls = min(calls, size.gateway_calls_per_second + size.gateway_calls_burst * edge)
     yield Bound("counter_calls_per_gateway", calls)
     made = counts["counter_calls_per_gateway"] + edge
-    yield Bound("counter_bytes_out_per_gateway", made * longest_call())
-    yield Bound("counter_bytes_in_per_gateway", made * max(len(LONGEST_TOTAL), BUSY_BYTES))
-    yield Bound("list_calls_per_gateway", list_calls(play))
+    yield Bound("counter_bytes_out_per_gateway", made * max_call_bytes())
+    yield Bound("counter_bytes_in_per_gateway", made * max(len(LONGEST_TOTAL), MAX_BUSY_BYTES))
+    yield Bound("list_calls_per_gateway", max_list_calls(play))
     asked = counts["list_calls_per_gateway"] + edge
-    yield Bound("list_bytes_out_per_gateway", asked * LIST_REQUEST_BYTES)
+    yield Bound("list_bytes_out_per_gateway", asked * MAX_LIST_REQUEST_BYTES)
     yield Bound("whole_lists_per_start", 1.0)
-    yield Bound("whole_list_bytes", list_bytes(size.backends))
+    yield Bound("whole_list_bytes", max_list_bytes(size.backends))
     most_changed = min(size.backends, size.changes_per_second * play.seconds + 1.0)
-    yield Bound("change_bytes", list_bytes(int(most_changed) + 1))
+    yield Bound("change_bytes", max_list_bytes(int(most_changed) + 1))
     if "restart_list_calls_fleet" in counts:
-        yield Bound("restart_bytes_per_gateway", list_bytes(size.backends) + HEAD_BYTES)
+        yield Bound("restart_bytes_per_gateway", max_list_bytes(size.backends) + MAX_HEAD_BYTES)
 
 
-def list_calls(play: Play) -> float:
+def max_list_calls(play: Play) -> float:
     """Each change ends a watch, and so does the shortest wait; a restart makes one more call."""
     size, edge = play.size, 1.0 / play.seconds
     shortest = MIN_WATCH_SHARE * MAX_WATCH_MS / 1000.0
@@ -91,23 +91,23 @@
     return size.changes_per_second + 1.0 / shortest + edge + restarts
 
 
-def has_thin_plans(size: FleetSize, seed: int) -> bool:
+def has_low_rate_plans(size: FleetSize, seed: int) -> bool:
     """Whether a gateway's part of some quota holds no request."""
-    least = size.spread * (WIDE_REQUESTS if size.spread > WIDE_GATEWAYS else 1.0)
+    least = size.spread * (MIN_REQUESTS_AT_WIDE_SPREAD if size.spread > WIDE_SPREAD else 1.0)
     return any(plan.burst < least for plan in Deployment(size, seed).plans)
 
 
-def longest_call() -> int:
+def max_call_bytes() -> int:
     """Bytes of the longest call of the counter in its published form."""
     life_ms = str(round(1000.0 * LONGEST_LIFE_SECONDS))
     words = ("CNT.ADD", "n" * MOST_NAME_BYTES, LONGEST_AMOUNT, life_ms)
     return len(hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub takes one word only
 
 
-def list_bytes(entries: int) -> float:
+def max_list_bytes(entries: int) -> float:
     """Bytes of an answer of the list service with so many entries, in the published form."""
     entry = {
         "instanceId": backend_name(0), "hostPort": "127.0.0.1:65535", "zone": "a", "machineType": MACHINE,
         "cell": 0, "lifecycle": "DRAINING", "weight": 1.0, "startedAtMs": STARTED_MS}
-    whole = {"generation": LONGEST_GENERATION, "reset": False, "instances": []}
+    whole = {"generation": MAX_GENERATION, "reset": False, "instances": []}
     return len(json.dumps(whole)) + entries * (len(json.dumps(entry)) + 2)
--- a/embersill/lab/scale/capacity.py
+++ b/embersill/lab/scale/capacity.py
@@ -17,26 +17,28 @@
 
 import numpy as np
 
-from embersill.lab.scale.capacity_model import CapacityModel, Kind, NotMeasured, OutsideModel, Reading, number
-from embersill.lab.scale.capacity_plan import FAILURES, ROLES, FailurePlan, RowPlan
-from embersill.lab.scale.coming_size import COMING_SIZE, CapacityTarget
+from embersill.lab.scale.capacity_model import (
+    CapacityModel, Estimate, NotMeasured, Origin, OutsideModel, format_number,
+)
+from embersill.lab.scale.capacity_plan import FAILURES, ROLE_TABLES, FailurePlan, RowPlan
+from embersill.lab.scale.coming_size import TARGET_SIZE, CapacityTarget
 from embersill.lab.scale.fits import NotExtrapolated
 from embersill.lab.scale.records import BadRecord, Record, Slope, read_record
 
-DONE, DIFFERS, BAD_USE = 0, 1, 2
-PARTS = np.concatenate([np.arange(1, 100) / 100, np.arange(10, 101) / 10])  # of the coming size
-NOT_PASSED = f"not up to {number(float(PARTS[-1]))} times the size"
-BEYOND = "beyond what was played"
-UNKNOWN = "not measured"
+DONE, DIFFERS, USAGE_ERROR = 0, 1, 2
+SIZE_FRACTIONS = np.concatenate([np.arange(1, 100) / 100, np.arange(10, 101) / 10])  # of the coming size
+NOT_EXCEEDED = f"not up to {format_number(float(SIZE_FRACTIONS[-1]))} times the size"
+BEYOND_PLAYED = "beyond what was played"
+NOT_MEASURED_TEXT = "not measured"
 NO_BUDGET = "no budget named"
-BLANK = "-"
-END = "<!-- end -->"
-BLOCK = re.compile(r"(<!-- table: (?P<name>\w+) -->\n)(?P<body>.*?)(?=<!-- end -->)", re.DOTALL)
+EMPTY_CELL = "-"
+END_MARKER = "<!-- end -->"
+TABLE_BLOCK = re.compile(r"(<!-- table: (?P<name>\w+) -->\n)(?P<body>.*?)(?=<!-- end -->)", re.DOTALL)
 
-ROLE_HEAD = ("quantity", "at the coming size", "origin", "how", "slope, 95% interval", "run", "budget",
+ROLE_HEADER = ("quantity", "at the coming size", "origin", "how", "slope, 95% interval", "run", "budget",
              "of the budget", "carried by", "passes the budget at")
-FAILURE_HEAD = ("failure", "how often", "quantity", "cost", "origin", "how", "run", "carried by")
-ORDER_HEAD = ("place", "missing mechanism", "first needed for", "passes the budget at", "of the budget",
+FAILURE_HEADER = ("failure", "how often", "quantity", "cost", "origin", "how", "run", "carried by")
+ORDER_HEADER = ("place", "missing mechanism", "first needed for", "passes the budget at", "of the budget",
               "origin", "carried today by")
 
 
@@ -45,72 +47,72 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crossing:
+class BudgetCrossing:
     """The smallest part of the coming size at which a budget is passed, or why there is none."""
 
-    part: float | None
+    size_fraction: float | None
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class RowResult:
     """A row's figure at the coming size, held against its budget."""
 
     role: str
     plan: RowPlan
-    reading: Reading | None  # None: `kind` and `how` say why
-    kind: Kind
-    how: str
-    crossing: Crossing | None  # None: no budget
+    estimate: Estimate | None  # None: `kind` and `how` say why
+    origin: Origin
+    explanation: str
+    crossing: BudgetCrossing | None  # None: no budget
 
     @property
-    def ratio(self) -> float | None:
+    def budget_ratio(self) -> float | None:
         """The figure as a multiple of its budget."""
-        if self.plan.budget is None or self.reading is None:
+        if self.plan.budget is None or self.estimate is None:
             return None
-        return self.reading.value / self.plan.budget.most
+        return self.estimate.value / self.plan.budget.max_value
 
 
 # figures
 
 
-def read_row(plan: RowPlan, model: CapacityModel, target: CapacityTarget) -> Reading:
+def estimate_row(plan: RowPlan, model: CapacityModel, target: CapacityTarget) -> Estimate:
     """The row's figure at one size; NotMeasured, NotExtrapolated or OutsideModel where there is none."""
-    if plan.given is not None:
-        return Reading(plan.given.reckon(target), Kind.RECKONED, f"reckoned: {plan.given.formula}")
+    if plan.from_size is not None:
+        return Estimate(plan.from_size.calculate(target), Origin.CALCULATED, f"reckoned: {plan.from_size.formula}")
     if not plan.terms:
         raise NotMeasured("no such measure yet")
-    return model.read_terms(plan.terms, target)
+    return model.estimate_terms(plan.terms, target)
 
 
-def evaluate(role: str, plan: RowPlan, model: CapacityModel) -> Result:
+def evaluate_row(role: str, plan: RowPlan, model: CapacityModel) -> RowResult:
     """The row at the coming size."""
-    crossing = find_crossing(plan, model)
+    crossing = find_budget_crossing(plan, model)
     try:
-        reading = read_row(plan, model, COMING_SIZE)
+        reading = estimate_row(plan, model, TARGET_SIZE)
     except NotMeasured as error:
-        return Result(role, plan, None, Kind.NOT_MEASURED, str(error), crossing)
+        return RowResult(role, plan, None, Origin.NOT_MEASURED, str(error), crossing)
     except (NotExtrapolated, OutsideModel) as error:
-        return Result(role, plan, None, Kind.NOT_EXTENDED, str(error), crossing)
-    return Result(role, plan, reading, reading.kind, reading.how, crossing)
+        return RowResult(role, plan, None, Origin.NOT_EXTRAPOLATED, str(error), crossing)
+    return RowResult(role, plan, reading, reading.origin, reading.derivation, crossing)
 
 
-def find_crossing(plan: RowPlan, model: CapacityModel) -> Crossing | None:
+def find_budget_crossing(plan: RowPlan, model: CapacityModel) -> BudgetCrossing | None:
     """Where the budget is first passed when all of the size grows in step."""
     if plan.budget is None:
         return None
     has_gaps = False
-    for part in PARTS:
+    for part in SIZE_FRACTIONS:
         try:
-            value = read_row(plan, model, COMING_SIZE.scaled(float(part))).value
+            value = estimate_row(plan, model, TARGET_SIZE.scaled(float(part))).value
         except NotMeasured:
-            return Crossing(None, UNKNOWN)
+            return BudgetCrossing(None, NOT_MEASURED_TEXT)
         except (NotExtrapolated, OutsideModel):
             has_gaps = True
             continue
-        if value > plan.budget.most:
-            return Crossing(float(part), f"{'at most ' if has_gaps else ''}{part:.2f} of the size")
-    return Crossing(None, BEYOND if has_gaps else NOT_PASSED)
+        if value > plan.budget.max_value:
+            return BudgetCrossing(float(part), f"{'at most ' if has_gaps else ''}{part:.2f} of the size")
+    return BudgetCrossing(None, BEYOND_PLAYED if has_gaps else NOT_EXCEEDED)
 
 
 # tables
@@ -119,9 +121,9 @@
 def build_tables(record: Record) -> dict[str, str]:
     """The text of each table, by the name in its marker."""
     model = CapacityModel(record.plays)
-    results = {plan.name: [evaluate(plan.name, row, model) for row in plan.rows] for plan in ROLES}
+    results = {plan.name: [evaluate_row(plan.name, row, model) for row in plan.rows] for plan in ROLE_TABLES}
     tables = {name: role_table(rows) for name, rows in results.items()}
-    failures = [(failure, [evaluate(failure.failure, row, model) for row in failure.rows])
+    failures = [(failure, [evaluate_row(failure.failure, row, model) for row in failure.rows])
                 for failure in FAILURES]
     tables["failures"] = failure_table(failures)
     tables["order"] = order_table([result for rows in results.values() for result in rows]
@@ -130,61 +132,61 @@
     return tables
 
 
-def role_table(results: Iterable[Result]) -> str:
+def role_table(results: Iterable[RowResult]) -> str:
     """The table of one role."""
-    return as_table(ROLE_HEAD, [(
+    return markdown_table(ROLE_HEADER, [(
         result.plan.quantity,
         figure_text(result),
-        result.kind.value,
-        result.how,
+        result.origin.value,
+        result.explanation,
         slopes_text(result),
         runs_text(result),
         budget_text(result.plan),
         ratio_text(result),
         result.plan.mechanism,
-        BLANK if result.crossing is None else result.crossing.text,
+        EMPTY_CELL if result.crossing is None else result.crossing.text,
     ) for result in results])
 
 
-def failure_table(failures: Iterable[tuple[FailurePlan, Sequence[Result]]]) -> str:
+def failure_table(failures: Iterable[tuple[FailurePlan, Sequence[RowResult]]]) -> str:
     """What each failure costs in messages, bytes and seconds."""
-    return as_table(FAILURE_HEAD, [(
+    return markdown_table(FAILURE_HEADER, [(
         failure.failure,
-        failure.often,
+        failure.frequency,
         result.plan.quantity,
         figure_text(result),
-        result.kind.value,
-        result.how,
+        result.origin.value,
+        result.explanation,
         runs_text(result),
         result.plan.mechanism,
     ) for failure, results in failures for result in results])
 
 
-def order_table(results: Sequence[Result]) -> str:
+def order_table(results: Sequence[RowResult]) -> str:
     """The missing mechanisms, the one first that is needed at the smallest part of the coming size."""
     rows = []
     for place, result in enumerate(missing_mechanisms(results), start=1):
         text = NO_BUDGET if result.crossing is None else result.crossing.text
-        rows.append((str(place), result.plan.missing, f"{result.role}: {result.plan.quantity}", text,
-                     ratio_text(result), result.kind.value, result.plan.mechanism))
-    return as_table(ORDER_HEAD, rows)
+        rows.append((str(place), result.plan.missing_mechanism, f"{result.role}: {result.plan.quantity}", text,
+                     ratio_text(result), result.origin.value, result.plan.mechanism))
+    return markdown_table(ORDER_HEADER, rows)
 
 
-def missing_mechanisms(results: Sequence[Result]) -> list[Result]:
+def missing_mechanisms(results: Sequence[RowResult]) -> list[RowResult]:
     """For each missing mechanism the row that needs it first, sorted."""
-    first: dict[str, Result] = {}
-    for result in sorted(results, key=urgency):
-        if result.plan.missing:
-            first.setdefault(result.plan.missing, result)
+    first: dict[str, RowResult] = {}
+    for result in sorted(results, key=urgency_key):
+        if result.plan.missing_mechanism:
+            first.setdefault(result.plan.missing_mechanism, result)
     return list(first.values())
 
 
-def urgency(result: Result) -> tuple[int, float]:
+def urgency_key(result: RowResult) -> tuple[int, float]:
     """The sort key: passed budgets by part of the size, the others by ratio, then what is unknown."""
-    if result.crossing is not None and result.crossing.part is not None:
-        return 0, result.crossing.part
-    if result.ratio is not None:
-        return 1, -result.ratio
+    if result.crossing is not None and result.crossing.size_fraction is not None:
+        return 0, result.crossing.size_fraction
+    if result.budget_ratio is not None:
+        return 1, -result.budget_ratio
     return (2 if result.plan.budget is not None else 3), 0.0
 
 
@@ -195,74 +197,74 @@
     for axis in axes:
         plays = [play for play in record.plays if play.axis == axis]
         values = sorted({play.value for play in plays})
-        rows.append((f"axis {axis}", f"{', '.join(map(number, values))}; {len(plays)} plays"))
-    return as_table(("what", "of the run"), rows)
+        rows.append((f"axis {axis}", f"{', '.join(map(format_number, values))}; {len(plays)} plays"))
+    return markdown_table(("what", "of the run"), rows)
 
 
-def as_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """A Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "".join("| " + " | ".join(cell.replace("|", "\\|") for cell in line) + " |\n" for line in lines)
 
 
-def figure_text(result: Result) -> str:
+def figure_text(result: RowResult) -> str:
     """The figure with its unit, or that there is none."""
-    if result.reading is None:
-        return result.kind.value
-    return f"{number(result.reading.value)} {result.plan.unit}"
+    if result.estimate is None:
+        return result.origin.value
+    return f"{format_number(result.estimate.value)} {result.plan.unit}"
 
 
-def slopes_text(result: Result) -> str:
+def slopes_text(result: RowResult) -> str:
     """The slopes that went into the figure."""
-    slopes = () if result.reading is None else result.reading.slopes
-    return "; ".join(map(slope_text, slopes)) or BLANK
+    slopes = () if result.estimate is None else result.estimate.slopes
+    return "; ".join(map(slope_text, slopes)) or EMPTY_CELL
 
 
 def slope_text(slope: Slope) -> str:
     """A slope with its interval, named by its measure and axis."""
     bends = ", bends" if slope.bends else ""
-    return (f"{slope.measure} over {slope.axis} {number(slope.slope)} "
-            f"({number(slope.low)} to {number(slope.high)}{bends})")
+    return (f"{slope.measure} over {slope.axis} {format_number(slope.slope)} "
+            f"({format_number(slope.low)} to {format_number(slope.high)}{bends})")
 
 
-def runs_text(result: Result) -> str:
+def runs_text(result: RowResult) -> str:
     """The runs behind the figure."""
-    runs = () if result.reading is None else result.reading.runs
-    return "; ".join(runs) or BLANK
+    runs = () if result.estimate is None else result.estimate.played_ranges
+    return "; ".join(runs) or EMPTY_CELL
 
 
 def budget_text(plan: RowPlan) -> str:
     """The budget with its source."""
     if plan.budget is None:
         return NO_BUDGET
-    return f"{number(plan.budget.most)} {plan.unit} ({plan.budget.source})"
+    return f"{format_number(plan.budget.max_value)} {plan.unit} ({plan.budget.source})"
 
 
-def ratio_text(result: Result) -> str:
+def ratio_text(result: RowResult) -> str:
     """The figure as a multiple of its budget."""
-    return BLANK if result.ratio is None else number(result.ratio)
+    return EMPTY_CELL if result.budget_ratio is None else format_number(result.budget_ratio)
 
 
 # page
 
 
-def page_tables(page: str) -> dict[str, str]:
+def read_page_tables(page: str) -> dict[str, str]:
     """The tables that stand in a page, by name; BadPage where a marker does not fit."""
-    names = [found["name"] for found in BLOCK.finditer(page)]
+    names = [found["name"] for found in TABLE_BLOCK.finditer(page)]
     if len(set(names)) < len(names):
         raise BadPage("two tables have the same name")
-    if page.count("<!-- table:") != len(names) or page.count(END) != len(names):
-        raise BadPage(f"a marker is torn: each table stands between its own and {END}")
-    return {found["name"]: found["body"] for found in BLOCK.finditer(page)}
+    if page.count("<!-- table:") != len(names) or page.count(END_MARKER) != len(names):
+        raise BadPage(f"a marker is torn: each table stands between its own and {END_MARKER}")
+    return {found["name"]: found["body"] for found in TABLE_BLOCK.finditer(page)}
 
 
 def replace_tables(page: str, tables: dict[str, str]) -> str:
     """The page with these tables in place of its own; BadPage unless it has a place for each."""
-    check_names(page_tables(page), tables)
-    return BLOCK.sub(lambda found: found[1] + tables[found["name"]], page)
+    check_table_names(read_page_tables(page), tables)
+    return TABLE_BLOCK.sub(lambda found: found[1] + tables[found["name"]], page)
 
 
-def check_names(present: Iterable[str], wanted: Iterable[str]) -> None:
+def check_table_names(present: Iterable[str], wanted: Iterable[str]) -> None:
     """BadPage unless the page has a place for each table and no other."""
     present, wanted = set(present), set(wanted)
     if present != wanted:
@@ -270,10 +272,10 @@
                       f"places without a table: {sorted(present - wanted)}")
 
 
-def differences(page: str, tables: dict[str, str]) -> list[str]:
+def find_differences(page: str, tables: dict[str, str]) -> list[str]:
     """The rows of the page that are not as generated, each in one line."""
-    present = page_tables(page)
-    check_names(present, tables)
+    present = read_page_tables(page)
+    check_table_names(present, tables)
     found = []
     for name, table in tables.items():
         pairs = itertools.zip_longest(present[name].splitlines(), table.splitlines(), fillvalue="nothing")
@@ -282,9 +284,9 @@
     return found
 
 
-def filled_tables(page: str) -> list[str]:
+def find_nonempty_tables(page: str) -> list[str]:
     """The tables that hold anything: none may as long as there is no record."""
-    return [f"table {name} holds rows, but there is no record" for name, table in page_tables(page).items()
+    return [f"table {name} holds rows, but there is no record" for name, table in read_page_tables(page).items()
             if table.strip()]
 
 
@@ -307,15 +309,15 @@
         return check_page(options.record, page) if options.check else write_page(options, page)
     except (BadRecord, BadPage, OSError) as error:
         print(error, file=sys.stderr)
-        return BAD_USE
+        return USAGE_ERROR
 
 
 def check_page(path: pathlib.Path, page: str) -> int:
     """Tells each row that differs; without a record the tables have to be empty."""
     if path.exists():
-        found = differences(page, build_tables(read_record(path)))
+        found = find_differences(page, build_tables(read_record(path)))
     else:
-        found = filled_tables(page)
+        found = find_nonempty_tables(page)
     for line in found:
         print(line, file=sys.stderr)
     return DIFFERS if found else DONE
--- a/embersill/lab/scale/capacity_model.py
+++ b/embersill/lab/scale/capacity_model.py
@@ -27,26 +27,26 @@
 import numpy as np
 
 from embersill.lab.scale.coming_size import CapacityTarget
-from embersill.lab.scale.fits import NotExtrapolated, figures_of, fit_slopes, predict
+from embersill.lab.scale.fits import NotExtrapolated, measures_of, fit_slopes, predict
 from embersill.lab.scale.records import FleetSize, Play, Slope
 
-RESTART = "restart_"  # begins the names of measures that only plays with restarts have
-COUNTER_COST = "counter_us_per_call"  # reckoned from two measures of the same play
-SAME = 0.005  # relative difference up to which two values of an axis are one
-MICROSECONDS = 1_000_000
+RESTART_PREFIX = "restart_"  # begins the names of measures that only plays with restarts have
+COUNTER_US_PER_CALL = "counter_us_per_call"  # reckoned from two measures of the same play
+AXIS_VALUE_TOLERANCE = 0.005  # relative difference up to which two values of an axis are one
+MICROSECONDS_PER_SECOND = 1_000_000
 
-Size = Mapping[str, float]  # by axis
+AxisValues = Mapping[str, float]  # by axis
 Item = TypeVar("Item")
 
 
-class Kind(enum.Enum):
+class Origin(enum.Enum):
     """Where a figure comes from."""
 
     MEASURED = "measured"
-    LINE = "line"
-    RECKONED = "reckoned"
+    FITTED = "line"
+    CALCULATED = "reckoned"
     GIVEN = "given"
-    NOT_EXTENDED = "not extended"
+    NOT_EXTRAPOLATED = "not extended"
     NOT_MEASURED = "not measured"
 
 
@@ -63,7 +63,7 @@
     """A number that is reckoned from the size alone, and its formula in words."""
 
     formula: str
-    reckon: Callable[[CapacityTarget], float]
+    calculate: Callable[[CapacityTarget], float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,23 +77,23 @@
     """
 
     measure: str
-    over: tuple[str, ...]
+    axes: tuple[str, ...]
     factor: Factor | None = None
-    times: Term | None = None
-    settled: Mapping[str, float] = field(default_factory=dict)
-    at_gateway: bool = False
-    per_gateway: bool = False
+    multiplied_by: Term | None = None
+    fixed_values: Mapping[str, float] = field(default_factory=dict)
+    of_one_gateway: bool = False
+    divide_by_gateways: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class Estimate:
     """A figure of one measure, and how it was come by."""
 
     value: float
-    kind: Kind
-    how: str
+    origin: Origin
+    derivation: str
     slopes: tuple[Slope, ...] = ()
-    runs: tuple[str, ...] = ()
+    played_ranges: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -110,7 +110,7 @@
         """The mean figure of the plays at each value."""
         figures: dict[float, list[float]] = {}
         for play in self.plays:
-            figures.setdefault(play.value, []).append(figure_of(play, self.measure))
+            figures.setdefault(play.value, []).append(measure_value(play, self.measure))
         return {value: float(np.mean(of_value)) for value, of_value in sorted(figures.items())}
 
     @cached_property
@@ -124,12 +124,12 @@
         return max(self.points)
 
     @cached_property
-    def run(self) -> str:
+    def played_range(self) -> str:
         """The run behind the figures, in words."""
-        return f"{self.axis} {number(self.smallest)} to {number(self.largest)}, {len(self.plays)} plays"
+        return f"{self.axis} {format_number(self.smallest)} to {format_number(self.largest)}, {len(self.plays)} plays"
 
     @property
-    def size(self) -> FleetSize:
+    def size_at_largest(self) -> FleetSize:
         """The size of the fleet at the largest value."""
         return self.plays[-1].size
 
@@ -138,52 +138,52 @@
         """Whether the slope cannot be told from nought."""
         return self.slope is not None and not self.slope.bends and self.slope.low <= 0.0 <= self.slope.high
 
-    def at(self, value: float) -> Reading:
+    def estimate_at(self, value: float) -> Estimate:
         """The figure at one value; NotMeasured or NotExtrapolated where there is none."""
         for played, figure in self.points.items():
-            if same(played, value):
-                return self.reading(figure, Kind.MEASURED, f"measured at {number(value)} {self.axis}")
+            if is_same_value(played, value):
+                return self.make_estimate(figure, Origin.MEASURED, f"measured at {format_number(value)} {self.axis}")
         if self.slope is None:
             raise NotMeasured(f"{self.measure} over {self.axis}: too few values for a line")
         if self.slope.bends:
-            return self.between_points(value)
+            return self.interpolate(value)
         if self.is_flat:
             mean = float(np.mean(list(self.points.values())))
-            return self.reading(mean, Kind.LINE, f"flat over {self.axis}, mean of all plays")
-        return self.reading(predict(self.slope, value), Kind.LINE, self.describe_line(value))
+            return self.make_estimate(mean, Origin.FITTED, f"flat over {self.axis}, mean of all plays")
+        return self.make_estimate(predict(self.slope, value), Origin.FITTED, self.describe_line(value))
 
-    def between_points(self, value: float) -> Reading:
+    def interpolate(self, value: float) -> Estimate:
         """The figure on the straight connection of the played points around this value.
 
         Below the smallest the first connection goes on; NotExtrapolated beyond the largest.
         """
         if value > self.largest:
             raise NotExtrapolated(
-                f"{self.measure} bends over {self.axis}, played from {number(self.smallest)} to "
-                f"{number(self.largest)}; {number(self.points[self.largest])} there")
+                f"{self.measure} bends over {self.axis}, played from {format_number(self.smallest)} to "
+                f"{format_number(self.largest)}; {format_number(self.points[self.largest])} there")
         if value < self.smallest:
             (first, low), (second, high) = list(self.points.items())[:2]
             figure = low + (high - low) * (value - first) / (second - first)
-            return self.reading(figure, Kind.LINE, f"curve that bends over {self.axis}, extended down to "
-                                                   f"{number(value)} by its first two points")
+            return self.make_estimate(figure, Origin.FITTED, f"curve that bends over {self.axis}, extended down to "
+                                                   f"{format_number(value)} by its first two points")
         figure = float(np.interp(value, list(self.points), list(self.points.values())))
-        return self.reading(figure, Kind.LINE, f"between points of a curve that bends over {self.axis}")
+        return self.make_estimate(figure, Origin.FITTED, f"between points of a curve that bends over {self.axis}")
 
-    def reading(self, figure: float, kind: Kind, how: str) -> Reading:
+    def make_estimate(self, figure: float, kind: Origin, how: str) -> Estimate:
         """A figure of this curve."""
-        return Reading(figure, kind, how, self.fitted, (self.run,))
+        return Estimate(figure, kind, how, self.slopes, (self.played_range,))
 
     def describe_line(self, value: float) -> str:
         """The line and how far it was extended, in words."""
-        line = f"line through {number(self.smallest)}..{number(self.largest)} {self.axis}"
+        line = f"line through {format_number(self.smallest)}..{format_number(self.largest)} {self.axis}"
         if value > self.largest > 0:
-            return f"{line}, extended {number(value / self.largest)} times"
+            return f"{line}, extended {format_number(value / self.largest)} times"
         if value < self.smallest:
-            return f"{line}, extended down to {number(value)}"
+            return f"{line}, extended down to {format_number(value)}"
         return line
 
     @property
-    def fitted(self) -> tuple[Slope, ...]:
+    def slopes(self) -> tuple[Slope, ...]:
         """The slope, if there is one."""
         return () if self.slope is None else (self.slope,)
 
@@ -192,11 +192,11 @@
     """Reads figures at any size out of the plays of a record."""
 
     def __init__(self, recorded: Sequence[Play]) -> None:
-        plays = [with_costs_per_call(without_idle_restarts(play)) for play in recorded]
+        plays = [with_counter_cost_per_call(without_unused_restart_measures(play)) for play in recorded]
         slopes = {(slope.axis, slope.measure): slope for slope in fit_slopes(plays)}
         by_measure: dict[tuple[str, str], list[Play]] = {}
         for play in plays:
-            for measure, figure in figures_of(play):
+            for measure, figure in measures_of(play):
                 if math.isfinite(figure):
                     by_measure.setdefault((play.axis, measure), []).append(play)
         self.curves = {
@@ -204,77 +204,77 @@
             for key, found in by_measure.items()
         }
 
-    def read_terms(self, terms: Iterable[Term], target: CapacityTarget) -> Reading:
+    def estimate_terms(self, terms: Iterable[Term], target: CapacityTarget) -> Estimate:
         """The sum of the terms at this size."""
-        readings = [self.read_term(term, target) for term in terms]
+        readings = [self.estimate_term(term, target) for term in terms]
         if len(readings) == 1:
             return readings[0]
-        return Reading(
+        return Estimate(
             value=sum(reading.value for reading in readings),
-            kind=Kind.RECKONED,
-            how=" + ".join(reading.how for reading in readings),
+            origin=Origin.CALCULATED,
+            derivation=" + ".join(reading.derivation for reading in readings),
             slopes=distinct(slope for reading in readings for slope in reading.slopes),
-            runs=distinct(run for reading in readings for run in reading.runs),
+            played_ranges=distinct(run for reading in readings for run in reading.played_ranges),
         )
 
-    def read_term(self, term: Term, target: CapacityTarget) -> Reading:
+    def estimate_term(self, term: Term, target: CapacityTarget) -> Estimate:
         """One measure at this size, times the term's other measure and factor."""
-        reading = self.read_measure(term, wanted_size(target) | dict(term.settled))
-        if term.times is not None:
-            other = self.read_term(term.times, target)
-            reading = Reading(
+        reading = self.estimate_measure(term, target_axis_values(target) | dict(term.fixed_values))
+        if term.multiplied_by is not None:
+            other = self.estimate_term(term.multiplied_by, target)
+            reading = Estimate(
                 value=reading.value * other.value,
-                kind=Kind.RECKONED,
-                how=f"{reading.how} x {other.how}",
+                origin=Origin.CALCULATED,
+                derivation=f"{reading.derivation} x {other.derivation}",
                 slopes=distinct([*reading.slopes, *other.slopes]),
-                runs=distinct([*reading.runs, *other.runs]),
+                played_ranges=distinct([*reading.played_ranges, *other.played_ranges]),
             )
         if term.factor is not None:
-            reading = replace(reading, value=reading.value * term.factor.reckon(target), kind=Kind.RECKONED,
-                              how=f"{reading.how} x {term.factor.formula}")
+            reading = replace(reading, value=reading.value * term.factor.calculate(target), origin=Origin.CALCULATED,
+                              derivation=f"{reading.derivation} x {term.factor.formula}")
         return reading
 
-    def read_measure(self, term: Term, wanted: Size) -> Reading:
+    def estimate_measure(self, term: Term, wanted: AxisValues) -> Estimate:
         """The measure on the anchor's axis, and what the other axes add."""
-        anchor = self.curve(term.over[0], term.measure)
-        reading = anchor.at(wanted_value(term, anchor, wanted))
-        value, kind, how = reading.value, reading.kind, [reading.how]
-        slopes, runs, flat, held = list(reading.slopes), list(reading.runs), list[str](), list[str]()
-        state = played_size(anchor.size) | {anchor.axis: wanted[anchor.axis]}
-        for axis in further_axes(term, wanted):
-            curve = self.further_curve(term, axis)
+        anchor = self.curve(term.axes[0], term.measure)
+        reading = anchor.estimate_at(axis_value(term, anchor, wanted))
+        value, kind, how = reading.value, reading.origin, [reading.derivation]
+        slopes, runs, flat, held = list(reading.slopes), list(reading.played_ranges), list[str](), list[str]()
+        state = played_axis_values(anchor.size_at_largest) | {anchor.axis: wanted[anchor.axis]}
+        for axis in additional_axes(term, wanted):
+            curve = self.additional_curve(term, axis)
             if curve is None:
-                held += [] if same(state[axis], wanted[axis]) else [axis]
+                held += [] if is_same_value(state[axis], wanted[axis]) else [axis]
                 continue
-            base, sought = wanted_value(term, curve, state), wanted_value(term, curve, wanted)
+            base, sought = axis_value(term, curve, state), axis_value(term, curve, wanted)
             state[axis] = wanted[axis]
-            if same(base, sought):
+            if is_same_value(base, sought):
                 continue
             if curve.is_flat:
                 flat.append(axis)
                 continue
-            value += curve.at(sought).value - curve.at(base).value
-            kind = Kind.RECKONED
-            how.append(describe_step(curve, base, sought))
-            slopes.extend(curve.fitted)
-            runs.append(curve.run)
+            value += curve.estimate_at(sought).value - curve.estimate_at(base).value
+            kind = Origin.CALCULATED
+            how.append(describe_difference(curve, base, sought))
+            slopes.extend(curve.slopes)
+            runs.append(curve.played_range)
         text = " + ".join(how)
         if flat:
             text += f"; flat over {', '.join(flat)}"
         if held:
             text += f"; {', '.join(held)} as played"
-        if term.per_gateway:
-            value, kind, text = value / anchor.size.gateways, Kind.RECKONED, text + "; per played gateway"
+        if term.divide_by_gateways:
+            value, kind, text = value / anchor.size_at_largest.gateways, Origin.CALCULATED, text + "; per played gateway"
         if value < 0.0:
             raise OutsideModel(f"{term.measure} comes out negative")
-        return Reading(value, kind, f"{term.measure} ({text})", tuple(slopes), tuple(runs))
+        return Estimate(value, kind, f"{term.measure} ({text})", tuple(slopes), tuple(runs))
 
-    def further_curve(self, term: Term, axis: str) -> Curve | None:
+    def additional_curve(self, term: Term, axis: str) -> Curve | None:
         """The curve of an axis beside the anchor's.
 
         None if the term does not require the axis and there is no line over it; NotMeasured if it does.
         """
-        if axis in term.over:
+        if axis in term.axes:
             return self.curve(axis, term.measure)
         return self.curves[axis, term.measure] if self.has_line(axis, term.measure) else None
 
@@ -290,39 +290,39 @@
         return self.curves[axis, measure]
 
 
-def further_axes(term: Term, wanted: Size) -> list[str]:
+def additional_axes(term: Term, wanted: AxisValues) -> list[str]:
     """The axes beside the anchor's, the required ones first.
 
     What one gateway spends follows the customers that come to it, of which the gateways axis would bring the
     change once more; so that axis counts there as the anchor only.
     """
-    anchor = term.over[0]
-    left_out = {anchor, "gateways"} if term.per_gateway or term.at_gateway else {anchor}
-    return [axis for axis in distinct([*term.over, *wanted]) if axis not in left_out]
+    anchor = term.axes[0]
+    left_out = {anchor, "gateways"} if term.divide_by_gateways or term.of_one_gateway else {anchor}
+    return [axis for axis in distinct([*term.axes, *wanted]) if axis not in left_out]
 
 
-def wanted_value(term: Term, curve: Curve, size: Size) -> float:
+def axis_value(term: Term, curve: Curve, size: AxisValues) -> float:
     """The value on the curve's axis that stands for this size."""
     value = size[curve.axis]
-    if curve.axis == "customers" and term.at_gateway:
-        return value * curve.size.gateways / size["gateways"]
+    if curve.axis == "customers" and term.of_one_gateway:
+        return value * curve.size_at_largest.gateways / size["gateways"]
     return value
 
 
-def describe_step(curve: Curve, base: float, sought: float) -> str:
+def describe_difference(curve: Curve, base: float, sought: float) -> str:
     """What a further axis adds, in words."""
-    text = f"over {curve.axis}, at {number(sought)} less at {number(base)}"
-    if sought > curve.largest and not same(sought, curve.largest):
-        text += f" (extended {number(sought / curve.largest)} times)"
+    text = f"over {curve.axis}, at {format_number(sought)} less at {format_number(base)}"
+    if sought > curve.largest and not is_same_value(sought, curve.largest):
+        text += f" (extended {format_number(sought / curve.largest)} times)"
     return text
 
 
-def same(one: float, other: float) -> bool:
+def is_same_value(one: float, other: float) -> bool:
     """Whether two values of an axis count as one."""
-    return math.isclose(one, other, rel_tol=SAME)
+    return math.isclose(one, other, rel_tol=AXIS_VALUE_TOLERANCE)
 
 
-def wanted_size(target: CapacityTarget) -> dict[str, float]:
+def target_axis_values(target: CapacityTarget) -> dict[str, float]:
     """The size as values of the axes; the spread stays as it was played, as the operators name none."""
     return {
         "gateways": target.gateways,
@@ -333,7 +333,7 @@
     }
 
 
-def played_size(size: FleetSize) -> dict[str, float]:
+def played_axis_values(size: FleetSize) -> dict[str, float]:
     """The size of a play as values of the axes."""
     return {
         "gateways": size.gateways,
@@ -346,28 +346,28 @@
     }
 
 
-def without_idle_restarts(play: Play) -> Play:
+def without_unused_restart_measures(play: Play) -> Play:
     """The play without figures of restarts, unless gateways were restarted in it."""
     if play.size.restarted_share > 0.0:
         return play
     return replace(
         play,
-        counts={name: figure for name, figure in play.counts.items() if not name.startswith(RESTART)},
-        times={name: figure for name, figure in play.times.items() if not name.startswith(RESTART)},
+        counts={name: figure for name, figure in play.counts.items() if not name.startswith(RESTART_PREFIX)},
+        times={name: figure for name, figure in play.times.items() if not name.startswith(RESTART_PREFIX)},
     )
 
 
-def with_costs_per_call(play: Play) -> Play:
+def with_counter_cost_per_call(play: Play) -> Play:
     """The play with the counter's processor time for one call, where there were calls."""
     calls, share = play.counts.get("counter_calls_fleet", 0.0), play.times.get("counter_cpu_share")
     if share is None or not calls > 0.0:
         return play
-    return replace(play, times=play.times | {COUNTER_COST: MICROSECONDS * share / calls})
+    return replace(play, times=play.times | {COUNTER_US_PER_CALL: MICROSECONDS_PER_SECOND * share / calls})
 
 
-def figure_of(play: Play, measure: str) -> float:
+def measure_value(play: Play, measure: str) -> float:
     """The play's figure for a measure that it has."""
-    return dict(figures_of(play))[measure]
+    return dict(measures_of(play))[measure]
 
 
 def play_order(play: Play) -> tuple[float, int, int]:
@@ -380,7 +380,7 @@
     return tuple(dict.fromkeys(items))
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Three significant digits; whole numbers are grouped in thousands."""
     if value == 0.0:
         return "0"
--- a/embersill/lab/scale/capacity_plan.py
+++ b/embersill/lab/scale/capacity_plan.py
@@ -5,8 +5,10 @@
 from dataclasses import dataclass
 
 from embersill.lab.scale import coming_size as coming
-from embersill.lab.scale.capacity_model import COUNTER_COST, MICROSECONDS, Factor, Term, number
-from embersill.lab.scale.coming_size import COMING_SIZE, CapacityTarget
+from embersill.lab.scale.capacity_model import (
+    COUNTER_US_PER_CALL, MICROSECONDS_PER_SECOND, Factor, Term, format_number,
+)
+from embersill.lab.scale.coming_size import TARGET_SIZE, CapacityTarget
 
 FULL_STATE = "full-state transfer"
 DELTAS = "delta propagation by long poll"
@@ -14,9 +16,9 @@
 SINGLE_LEADER = "single leader, one watch per gateway"
 READ_REPLICA = "read replica, one watch per gateway"
 FULL_REPLICA = "full replica at each gateway"
-LOCAL = "local decision"
+LOCAL_DECISION = "local decision"
 MANUAL = "file and signal, no protocol"
-NONE = "none"
+NO_MECHANISM = "none"
 
 FAN_OUT = "fan-out tree"
 SHARDING = "sharding by rendezvous hashing"
@@ -26,7 +28,7 @@
 CONFIG_DELTAS = "delta propagation of configuration down a fan-out tree"
 REGION_QUOTA = "quota split between regions by lease"
 ROLLOUT = "staged rollout with admission control"
-WORKERS = "worker processes that share a gateway's port"
+WORKER_PROCESSES = "worker processes that share a gateway's port"
 JITTERED_START = "jittered start from a local snapshot"
 
 
@@ -34,7 +36,7 @@
 class Budget:
     """What may be spent on a quantity, and who says so."""
 
-    most: float
+    max_value: float
     source: str
 
 
@@ -50,9 +52,9 @@
     unit: str
     mechanism: str
     terms: tuple[Term, ...] = ()
-    given: Factor | None = None
+    from_size: Factor | None = None
     budget: Budget | None = None
-    missing: str = ""
+    missing_mechanism: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,23 +70,23 @@
     """A failure, how often it comes, and the rows that it costs."""
 
     failure: str
-    often: str
+    frequency: str
     rows: tuple[RowPlan, ...]
 
 
 # factors
 
 GATEWAYS = Factor("gateways", lambda target: target.gateways)
-BACKENDS_IN_MB = Factor("backends / 1,000,000", lambda target: target.backends / coming.BYTES_PER_MB)
-MEGABYTES = Factor("1 / 1,000,000", lambda target: 1 / coming.BYTES_PER_MB)
-CORES = Factor("1 / 1,000,000", lambda target: 1 / MICROSECONDS)
-SECONDS = Factor("0.001", lambda target: 0.001)  # of milliseconds
-ENTRIES = Factor("one entry per backend", lambda target: target.backends)
+MB_OF_ALL_BACKENDS = Factor("backends / 1,000,000", lambda target: target.backends / coming.BYTES_PER_MB)
+BYTES_TO_MB = Factor("1 / 1,000,000", lambda target: 1 / coming.BYTES_PER_MB)
+MICROSECONDS_TO_CORES = Factor("1 / 1,000,000", lambda target: 1 / MICROSECONDS_PER_SECOND)
+MS_TO_SECONDS = Factor("0.001", lambda target: 0.001)  # of milliseconds
+LIST_ENTRIES = Factor("one entry per backend", lambda target: target.backends)
 
 
-def at_gateway(measure: str, *over: str, factor: Factor | None = None, times: Term | None = None) -> Term:
+def one_gateway_term(measure: str, *over: str, factor: Factor | None = None, times: Term | None = None) -> Term:
     """What one gateway has, spends or sees."""
-    return Term(measure, over, factor, times, at_gateway=True)
+    return Term(measure, over, factor, times, of_one_gateway=True)
 
 
 # budgets
@@ -94,126 +96,126 @@
 GATEWAY_BYTES = Budget(coming.GATEWAY_BYTES_PER_SECOND, "operators")
 ADDED_P99 = Budget(coming.ADDED_P99_MS, "operators")
 ONE_CORE = Budget(coming.PROCESS_CPU_SHARE, "one core per process")
-IN_FORCE_MS = Budget(1_000 * coming.IN_FORCE_SECONDS, "operators")
-IN_FORCE = Budget(coming.IN_FORCE_SECONDS, "operators")
-COUNTER_PART = Budget(coming.COUNTER_CALLS_LEAST, "published, one part at its least")
-COUNTER_ALL = Budget(coming.COUNTER_PARTS_MOST * coming.COUNTER_CALLS_LEAST,
+PROPAGATION_MS = Budget(1_000 * coming.CONFIG_PROPAGATION_SECONDS, "operators")
+PROPAGATION_SECONDS = Budget(coming.CONFIG_PROPAGATION_SECONDS, "operators")
+COUNTER_PART_CALLS = Budget(coming.MIN_COUNTER_PART_CALLS, "published, one part at its least")
+COUNTER_TOTAL_CALLS = Budget(coming.MAX_COUNTER_PARTS * coming.MIN_COUNTER_PART_CALLS,
                      "published, all parts at their least")
 
 # terms that several rows share
 
-SMALL_LIST = {"backends": 500.0, "changes": 0.5, "customers": 2000.0, "gateways": 20.0}
+SMALL_LIST_SIZE = {"backends": 500.0, "changes": 0.5, "customers": 2000.0, "gateways": 20.0}
 
-LOAD = ("gateways", "customers", "requests")
-COUNTER_CALLS = at_gateway("counter_calls_per_gateway", *LOAD)
-COUNTER_CALLS_FLEET = at_gateway("counter_calls_per_gateway", *LOAD, factor=GATEWAYS)
-COUNTER_BYTES = tuple(at_gateway(f"counter_bytes_{way}_per_gateway", *LOAD) for way in ("out", "in"))
-COUNTER_BYTES_FLEET = tuple(at_gateway(f"counter_bytes_{way}_per_gateway", *LOAD, factor=GATEWAYS)
+LOAD_AXES = ("gateways", "customers", "requests")
+COUNTER_CALLS = one_gateway_term("counter_calls_per_gateway", *LOAD_AXES)
+COUNTER_CALLS_FLEET = one_gateway_term("counter_calls_per_gateway", *LOAD_AXES, factor=GATEWAYS)
+COUNTER_BYTES = tuple(one_gateway_term(f"counter_bytes_{way}_per_gateway", *LOAD_AXES) for way in ("out", "in"))
+COUNTER_BYTES_FLEET = tuple(one_gateway_term(f"counter_bytes_{way}_per_gateway", *LOAD_AXES, factor=GATEWAYS)
                             for way in ("out", "in"))
-LIST_CALLS = at_gateway("list_calls_per_gateway", "gateways", "changes")
-LIST_CALLS_FLEET = at_gateway("list_calls_per_gateway", "gateways", "changes", factor=GATEWAYS)
-LIST_BYTES = tuple(at_gateway(f"list_bytes_{way}_per_gateway", "gateways", "backends", "changes")
+LIST_CALLS = one_gateway_term("list_calls_per_gateway", "gateways", "changes")
+LIST_CALLS_FLEET = one_gateway_term("list_calls_per_gateway", "gateways", "changes", factor=GATEWAYS)
+LIST_BYTES = tuple(one_gateway_term(f"list_bytes_{way}_per_gateway", "gateways", "backends", "changes")
                    for way in ("out", "in"))
-CUSTOMERS_AT_GATEWAY = at_gateway("customers_per_gateway", "gateways", "customers")
+CUSTOMERS_AT_GATEWAY = one_gateway_term("customers_per_gateway", "gateways", "customers")
 
 
-def unmeasured(quantity: str, unit: str, missing: str, budget: Budget | None = None) -> RowPlan:
+def unmeasured_row(quantity: str, unit: str, missing: str, budget: Budget | None = None) -> RowPlan:
     """A row of a role that does not exist yet."""
-    return RowPlan(quantity, unit, NONE, budget=budget, missing=missing)
+    return RowPlan(quantity, unit, NO_MECHANISM, budget=budget, missing_mechanism=missing)
 
 
 GATEWAY = TablePlan("gateway", (
-    RowPlan("state: list entries", "entries", FULL_REPLICA, given=ENTRIES, missing=SUBSETS),
-    RowPlan("state: customers", "customers", CENTRAL_COUNTER, (CUSTOMERS_AT_GATEWAY,), missing=SHARDING),
+    RowPlan("state: list entries", "entries", FULL_REPLICA, from_size=LIST_ENTRIES, missing_mechanism=SUBSETS),
+    RowPlan("state: customers", "customers", CENTRAL_COUNTER, (CUSTOMERS_AT_GATEWAY,), missing_mechanism=SHARDING),
     RowPlan("messages/s", "calls/s", f"{CENTRAL_COUNTER}; {DELTAS}", (COUNTER_CALLS, LIST_CALLS)),
     RowPlan("bytes/s for the list", "bytes/s", f"{FULL_STATE}; {DELTAS}", LIST_BYTES,
-            budget=GATEWAY_BYTES, missing=SUBSETS),
+            budget=GATEWAY_BYTES, missing_mechanism=SUBSETS),
     RowPlan("bytes/s to the counter", "bytes/s", CENTRAL_COUNTER, COUNTER_BYTES,
-            budget=GATEWAY_BYTES, missing=LEASES),
+            budget=GATEWAY_BYTES, missing_mechanism=LEASES),
     RowPlan("bytes/s", "bytes/s", f"{CENTRAL_COUNTER}; {DELTAS}", (*COUNTER_BYTES, *LIST_BYTES),
-            budget=GATEWAY_BYTES, missing=LEASES),
+            budget=GATEWAY_BYTES, missing_mechanism=LEASES),
     RowPlan("CPU of control", "cores", f"{CENTRAL_COUNTER}; {DELTAS}",
-            (at_gateway("control_cpu_share", "gateways", "backends", "customers", "requests"),),
-            budget=GATEWAY_CPU, missing=LEASES),
-    RowPlan("CPU of decisions", "cores", LOCAL,
-            (at_gateway("module_cpu_share", "requests", "backends", "customers"),)),
-    RowPlan("CPU of decisions, each request, with 500 backends", "µs", LOCAL,
-            (Term("module_us_per_request", ("requests",), settled=SMALL_LIST),)),
+            (one_gateway_term("control_cpu_share", "gateways", "backends", "customers", "requests"),),
+            budget=GATEWAY_CPU, missing_mechanism=LEASES),
+    RowPlan("CPU of decisions", "cores", LOCAL_DECISION,
+            (one_gateway_term("module_cpu_share", "requests", "backends", "customers"),)),
+    RowPlan("CPU of decisions, each request, with 500 backends", "µs", LOCAL_DECISION,
+            (Term("module_us_per_request", ("requests",), fixed_values=SMALL_LIST_SIZE),)),
     RowPlan("CPU to take a whole list", "ms", FULL_STATE, (Term("whole_list_ms", ("backends",)),)),
     RowPlan("CPU to take a change", "ms", DELTAS, (Term("change_ms", ("backends",)),)),
     RowPlan("memory of the process", "MB", FULL_REPLICA,
-            (at_gateway("gateway_memory_mb", "backends", "customers"),),
-            budget=GATEWAY_MEMORY, missing=SUBSETS),
+            (one_gateway_term("gateway_memory_mb", "backends", "customers"),),
+            budget=GATEWAY_MEMORY, missing_mechanism=SUBSETS),
     RowPlan("memory of the list", "MB", FULL_REPLICA,
-            (Term("memory_per_backend_bytes", ("backends",), BACKENDS_IN_MB),),
-            budget=GATEWAY_MEMORY, missing=SUBSETS),
-    RowPlan("memory of customers", "MB", LOCAL,
-            (at_gateway("memory_per_customer_bytes", "customers", times=CUSTOMERS_AT_GATEWAY,
-                        factor=MEGABYTES),),
-            budget=GATEWAY_MEMORY, missing=SHARDING),
-    RowPlan("time here, median, waits for quota included", "ms", LOCAL,
-            (at_gateway("added_p50_ms", "requests"),)),
-    RowPlan("time here, 99 in 100, waits for quota included", "ms", LOCAL,
-            (at_gateway("added_p99_ms", "requests"),)),
-    unmeasured("added time, 99 in 100, without waits for quota", "ms", WORKERS, ADDED_P99),
+            (Term("memory_per_backend_bytes", ("backends",), MB_OF_ALL_BACKENDS),),
+            budget=GATEWAY_MEMORY, missing_mechanism=SUBSETS),
+    RowPlan("memory of customers", "MB", LOCAL_DECISION,
+            (one_gateway_term("memory_per_customer_bytes", "customers", times=CUSTOMERS_AT_GATEWAY,
+                        factor=BYTES_TO_MB),),
+            budget=GATEWAY_MEMORY, missing_mechanism=SHARDING),
+    RowPlan("time here, median, waits for quota included", "ms", LOCAL_DECISION,
+            (one_gateway_term("added_p50_ms", "requests"),)),
+    RowPlan("time here, 99 in 100, waits for quota included", "ms", LOCAL_DECISION,
+            (one_gateway_term("added_p99_ms", "requests"),)),
+    unmeasured_row("added time, 99 in 100, without waits for quota", "ms", WORKER_PROCESSES, ADDED_P99),
 ))
 
 
-def list_service(name: str, role: str, mechanism: str) -> TablePlan:
+def list_service_table(name: str, role: str, mechanism: str) -> TablePlan:
     """The table of one role of the list service."""
     return TablePlan(name, (
-        RowPlan("state: list entries", "entries", mechanism, given=ENTRIES),
+        RowPlan("state: list entries", "entries", mechanism, from_size=LIST_ENTRIES),
         RowPlan("messages/s, all gateways at this one", "calls/s", mechanism,
-                (LIST_CALLS_FLEET,), missing=FAN_OUT),
+                (LIST_CALLS_FLEET,), missing_mechanism=FAN_OUT),
         RowPlan("bytes/s out", "bytes/s", mechanism,
-                (Term(f"list_bytes_out_{role}", ("gateways", "backends", "changes")),), missing=FAN_OUT),
+                (Term(f"list_bytes_out_{role}", ("gateways", "backends", "changes")),), missing_mechanism=FAN_OUT),
         RowPlan("CPU", "cores", mechanism,
                 (Term(f"directory_{role}_cpu_share", ("gateways", "backends", "changes")),),
-                budget=ONE_CORE, missing=FAN_OUT),
+                budget=ONE_CORE, missing_mechanism=FAN_OUT),
         RowPlan("memory", "MB", mechanism,
                 (Term(f"directory_{role}_memory_mb", ("gateways", "backends")),)),
         RowPlan("size of a whole list", "bytes", FULL_STATE, (Term("whole_list_bytes", ("backends",)),)),
         RowPlan("size of a change", "bytes", DELTAS, (Term("change_bytes", ("backends",)),)),
         RowPlan("change until the last gateway has it", "ms", mechanism,
-                (Term("news_last_ms", ("gateways",)),), budget=IN_FORCE_MS, missing=FAN_OUT),
+                (Term("news_last_ms", ("gateways",)),), budget=PROPAGATION_MS, missing_mechanism=FAN_OUT),
         RowPlan("longest of these", "ms", mechanism, (Term("news_longest_ms", ("gateways",)),),
-                budget=IN_FORCE_MS, missing=FAN_OUT),
+                budget=PROPAGATION_MS, missing_mechanism=FAN_OUT),
     ))
 
 
 COUNTER = TablePlan("counter", (
     RowPlan("state: names", "names", CENTRAL_COUNTER, (Term("counter_names_active", ("customers",)),)),
     RowPlan("messages/s, one part", "calls/s", CENTRAL_COUNTER, (COUNTER_CALLS_FLEET,),
-            budget=COUNTER_PART, missing=AGGREGATION),
+            budget=COUNTER_PART_CALLS, missing_mechanism=AGGREGATION),
     RowPlan("messages/s, all parts", "calls/s", "sharding by name", (COUNTER_CALLS_FLEET,),
-            budget=COUNTER_ALL, missing=AGGREGATION),
+            budget=COUNTER_TOTAL_CALLS, missing_mechanism=AGGREGATION),
     RowPlan("messages/s, from the sum over the fleet", "calls/s", CENTRAL_COUNTER,
             (Term("counter_calls_fleet", ("gateways",)),)),
     RowPlan("bytes/s", "bytes/s", CENTRAL_COUNTER, COUNTER_BYTES_FLEET),
     RowPlan("CPU", "cores", CENTRAL_COUNTER,
-            (Term(COUNTER_COST, ("requests",), CORES, COUNTER_CALLS_FLEET),),
-            budget=ONE_CORE, missing=AGGREGATION),
+            (Term(COUNTER_US_PER_CALL, ("requests",), MICROSECONDS_TO_CORES, COUNTER_CALLS_FLEET),),
+            budget=ONE_CORE, missing_mechanism=AGGREGATION),
     RowPlan("memory", "MB", CENTRAL_COUNTER, (Term("counter_memory_mb", ("customers",)),)),
-    RowPlan("requests refused", "share", CENTRAL_COUNTER, (at_gateway("refused_share", "customers"),)),
+    RowPlan("requests refused", "share", CENTRAL_COUNTER, (one_gateway_term("refused_share", "customers"),)),
     RowPlan("refused though quota was left", "share", CENTRAL_COUNTER,
-            (at_gateway("refused_with_room_share", "customers"),)),
+            (one_gateway_term("refused_with_room_share", "customers"),)),
     RowPlan("let through beyond quota", "share", CENTRAL_COUNTER,
-            (at_gateway("beyond_quota_share", "customers"),)),
+            (one_gateway_term("beyond_quota_share", "customers"),)),
 ))
 
 AGGREGATOR = TablePlan("aggregator", (
     RowPlan("state", "names", AGGREGATION),
     RowPlan("messages/s in", "calls/s", AGGREGATION,
-            (Term("aggregator_calls_in", ("requests", "customers"), GATEWAYS, at_gateway=True,
-                  per_gateway=True),)),
+            (Term("aggregator_calls_in", ("requests", "customers"), GATEWAYS, of_one_gateway=True,
+                  divide_by_gateways=True),)),
     RowPlan("messages/s out", "calls/s", AGGREGATION,
-            (Term("aggregator_calls_out", LOAD),),
-            budget=COUNTER_ALL, missing=LEASES),
+            (Term("aggregator_calls_out", LOAD_AXES),),
+            budget=COUNTER_TOTAL_CALLS, missing_mechanism=LEASES),
     RowPlan("bytes/s", "bytes/s", AGGREGATION),
     RowPlan("CPU, all on one process", "cores", AGGREGATION,
-            (Term("aggregator_cpu_share", ("requests", "customers"), GATEWAYS, at_gateway=True,
-                  per_gateway=True),),
-            budget=ONE_CORE, missing=SHARDING),
+            (Term("aggregator_cpu_share", ("requests", "customers"), GATEWAYS, of_one_gateway=True,
+                  divide_by_gateways=True),),
+            budget=ONE_CORE, missing_mechanism=SHARDING),
     RowPlan("memory", "MB", AGGREGATION, (Term("aggregator_memory_mb", ("customers",)),)),
 ))
 
@@ -224,66 +226,66 @@
 
 
 CONFIGURATION = TablePlan("configuration", (
-    RowPlan("state", "records", MANUAL, given=Factor("routes + services + customers", config_records)),
-    RowPlan("messages/s", "deliveries/s", MANUAL, missing=CONFIG_DELTAS, given=Factor(
+    RowPlan("state", "records", MANUAL, from_size=Factor("routes + services + customers", config_records)),
+    RowPlan("messages/s", "deliveries/s", MANUAL, missing_mechanism=CONFIG_DELTAS, from_size=Factor(
         "configuration changes/s x gateways",
         lambda target: target.config_changes_per_second * target.gateways)),
-    unmeasured("bytes/s", "bytes/s", CONFIG_DELTAS),
-    unmeasured("CPU", "cores", CONFIG_DELTAS, ONE_CORE),
-    unmeasured("memory", "MB", CONFIG_DELTAS),
-    unmeasured("time until in force everywhere", "s", CONFIG_DELTAS, IN_FORCE),
+    unmeasured_row("bytes/s", "bytes/s", CONFIG_DELTAS),
+    unmeasured_row("CPU", "cores", CONFIG_DELTAS, ONE_CORE),
+    unmeasured_row("memory", "MB", CONFIG_DELTAS),
+    unmeasured_row("time until in force everywhere", "s", CONFIG_DELTAS, PROPAGATION_SECONDS),
 ))
 
 OPERATORS = TablePlan("operators", (
-    unmeasured("state", "operations in progress", ROLLOUT),
-    RowPlan("messages/s", "commands/s", MANUAL, missing=ROLLOUT, given=Factor(
+    unmeasured_row("state", "operations in progress", ROLLOUT),
+    RowPlan("messages/s", "commands/s", MANUAL, missing_mechanism=ROLLOUT, from_size=Factor(
         "(configuration changes + restarts and replacements of machines) a day / 86,400 s",
         lambda target: (target.config_changes_per_day + target.restarts_per_day) / coming.SECONDS_PER_DAY)),
-    unmeasured("bytes/s", "bytes/s", ROLLOUT),
-    unmeasured("CPU", "cores", ROLLOUT),
-    unmeasured("memory", "MB", ROLLOUT),
+    unmeasured_row("bytes/s", "bytes/s", ROLLOUT),
+    unmeasured_row("CPU", "cores", ROLLOUT),
+    unmeasured_row("memory", "MB", ROLLOUT),
 ))
 
 ROUTES = TablePlan("routes", (
-    RowPlan("state", "routes", NONE, given=Factor("routes", lambda target: target.routes),
-            missing=CONFIG_DELTAS),
-    unmeasured("messages/s", "calls/s", CONFIG_DELTAS),
-    unmeasured("bytes/s", "bytes/s", CONFIG_DELTAS),
-    unmeasured("CPU", "cores", CONFIG_DELTAS),
-    unmeasured("memory", "MB", CONFIG_DELTAS),
+    RowPlan("state", "routes", NO_MECHANISM, from_size=Factor("routes", lambda target: target.routes),
+            missing_mechanism=CONFIG_DELTAS),
+    unmeasured_row("messages/s", "calls/s", CONFIG_DELTAS),
+    unmeasured_row("bytes/s", "bytes/s", CONFIG_DELTAS),
+    unmeasured_row("CPU", "cores", CONFIG_DELTAS),
+    unmeasured_row("memory", "MB", CONFIG_DELTAS),
 ))
 
 SERVICES = TablePlan("services", (
-    RowPlan("state", "services", NONE, given=Factor("services", lambda target: target.services),
-            missing=SUBSETS),
-    unmeasured("messages/s", "calls/s", SUBSETS),
-    unmeasured("bytes/s", "bytes/s", SUBSETS),
-    unmeasured("CPU", "cores", SUBSETS),
-    unmeasured("memory", "MB", SUBSETS),
+    RowPlan("state", "services", NO_MECHANISM, from_size=Factor("services", lambda target: target.services),
+            missing_mechanism=SUBSETS),
+    unmeasured_row("messages/s", "calls/s", SUBSETS),
+    unmeasured_row("bytes/s", "bytes/s", SUBSETS),
+    unmeasured_row("CPU", "cores", SUBSETS),
+    unmeasured_row("memory", "MB", SUBSETS),
 ))
 
 TENANTS = TablePlan("tenants", (
-    RowPlan("state", "customers", NONE, given=Factor("customers", lambda target: target.customers),
-            missing=CONFIG_DELTAS),
-    unmeasured("messages/s", "calls/s", CONFIG_DELTAS),
-    unmeasured("bytes/s", "bytes/s", CONFIG_DELTAS),
-    unmeasured("CPU", "cores", CONFIG_DELTAS),
-    unmeasured("memory", "MB", CONFIG_DELTAS),
+    RowPlan("state", "customers", NO_MECHANISM, from_size=Factor("customers", lambda target: target.customers),
+            missing_mechanism=CONFIG_DELTAS),
+    unmeasured_row("messages/s", "calls/s", CONFIG_DELTAS),
+    unmeasured_row("bytes/s", "bytes/s", CONFIG_DELTAS),
+    unmeasured_row("CPU", "cores", CONFIG_DELTAS),
+    unmeasured_row("memory", "MB", CONFIG_DELTAS),
 ))
 
 REGIONS = TablePlan("regions", (
-    RowPlan("state", "shares of quota", NONE, missing=REGION_QUOTA, given=Factor(
+    RowPlan("state", "shares of quota", NO_MECHANISM, missing_mechanism=REGION_QUOTA, from_size=Factor(
         "customers x regions", lambda target: target.customers * target.regions)),
-    unmeasured("messages/s", "calls/s", REGION_QUOTA),
-    unmeasured("bytes/s", "bytes/s", REGION_QUOTA),
-    unmeasured("CPU", "cores", REGION_QUOTA),
-    unmeasured("memory", "MB", REGION_QUOTA),
+    unmeasured_row("messages/s", "calls/s", REGION_QUOTA),
+    unmeasured_row("bytes/s", "bytes/s", REGION_QUOTA),
+    unmeasured_row("CPU", "cores", REGION_QUOTA),
+    unmeasured_row("memory", "MB", REGION_QUOTA),
 ))
 
-ROLES = (
+ROLE_TABLES = (
     GATEWAY,
-    list_service("leader", "leader", SINGLE_LEADER),
-    list_service("follower", "follower", READ_REPLICA),
+    list_service_table("leader", "leader", SINGLE_LEADER),
+    list_service_table("follower", "follower", READ_REPLICA),
     COUNTER,
     AGGREGATOR,
     CONFIGURATION,
@@ -298,44 +300,44 @@
 # failures
 
 
-def news_of(formula: str, changes: Factor) -> tuple[RowPlan, ...]:
+def change_propagation_rows(formula: str, changes: Factor) -> tuple[RowPlan, ...]:
     """What it costs to tell all gateways of these changes, one message for each change and gateway."""
     return (
-        RowPlan("messages", "changes told", DELTAS, given=Factor(
-            f"{formula} x gateways", lambda target: changes.reckon(target) * target.gateways)),
+        RowPlan("messages", "changes told", DELTAS, from_size=Factor(
+            f"{formula} x gateways", lambda target: changes.calculate(target) * target.gateways)),
         RowPlan("bytes", "bytes", DELTAS, (Term("change_bytes", ("backends",), Factor(
-            f"{formula} x gateways", lambda target: changes.reckon(target) * target.gateways)),)),
+            f"{formula} x gateways", lambda target: changes.calculate(target) * target.gateways)),)),
         RowPlan("seconds until the last gateway knows", "s", DELTAS, (Term(
-            "news_longest_ms", ("gateways",), SECONDS),),
-            budget=IN_FORCE, missing=FAN_OUT),
+            "news_longest_ms", ("gateways",), MS_TO_SECONDS),),
+            budget=PROPAGATION_SECONDS, missing_mechanism=FAN_OUT),
     )
 
 
-def lists_of(formula: str, gateways: Factor) -> RowPlan:
+def full_list_row(formula: str, gateways: Factor) -> RowPlan:
     """The bytes of a whole list for each of these gateways."""
     return RowPlan("bytes", "bytes", FULL_STATE,
-                   (Term("whole_list_bytes", ("backends",), Factor(formula, gateways.reckon)),),
-                   missing=JITTERED_START)
+                   (Term("whole_list_bytes", ("backends",), Factor(formula, gateways.calculate)),),
+                   missing_mechanism=JITTERED_START)
 
 
-def return_of(formula: str, share: float) -> tuple[RowPlan, ...]:
+def mass_restart_rows(formula: str, share: float) -> tuple[RowPlan, ...]:
     """What it costs when this share of the gateways starts again at once."""
     restarted = Factor(formula, lambda target: share * target.gateways)
     settled = {"restarted": share}
     return (
         RowPlan("messages", "calls for the list", FULL_STATE,
-                (Term("restart_list_calls_fleet", ("restarted",), GATEWAYS, settled=settled,
-                      per_gateway=True),),
-                missing=JITTERED_START),
-        lists_of(formula, restarted),
+                (Term("restart_list_calls_fleet", ("restarted",), GATEWAYS, fixed_values=settled,
+                      divide_by_gateways=True),),
+                missing_mechanism=JITTERED_START),
+        full_list_row(formula, restarted),
         RowPlan("bytes at a gateway, fleet as played", "bytes", FULL_STATE,
-                (Term("restart_bytes_per_gateway", ("restarted",), settled=settled),)),
+                (Term("restart_bytes_per_gateway", ("restarted",), fixed_values=settled),)),
         RowPlan("seconds until all are told", "s", FULL_STATE,
-                (Term("restart_all_told_s", ("restarted", "gateways"), settled=settled),),
-                budget=IN_FORCE, missing=JITTERED_START),
+                (Term("restart_all_told_s", ("restarted", "gateways"), fixed_values=settled),),
+                budget=PROPAGATION_SECONDS, missing_mechanism=JITTERED_START),
         RowPlan("seconds until all are told, fleet as played", "s", FULL_STATE,
-                (Term("restart_all_told_s", ("restarted",), settled=settled),),
-                budget=IN_FORCE, missing=JITTERED_START),
+                (Term("restart_all_told_s", ("restarted",), fixed_values=settled),),
+                budget=PROPAGATION_SECONDS, missing_mechanism=JITTERED_START),
     )
 
 
@@ -345,15 +347,15 @@
 RESTART_CHANGES = Factor("list writes/s", lambda target: target.list_writes_per_second)
 REGION_GATEWAYS = Factor("gateways of a region", lambda target: target.gateways / target.regions)
 MISSED_CHANGES = Factor("list writes/s x 3,600 s",
-                        lambda target: target.list_writes_per_second * coming.APART_SECONDS)
-FAILURES_OFTEN = f"{number(COMING_SIZE.failures_per_day)} machines on an ordinary day"
-RESTARTS_OFTEN = f"{number(COMING_SIZE.restarts_per_day)} machines a day"
-ZONE_SHARE = 1 / COMING_SIZE.zones
+                        lambda target: target.list_writes_per_second * coming.REGION_OUTAGE_SECONDS)
+FAILURE_FREQUENCY = f"{format_number(TARGET_SIZE.failures_per_day)} machines on an ordinary day"
+RESTART_FREQUENCY = f"{format_number(TARGET_SIZE.restarts_per_day)} machines a day"
+ZONE_SHARE = 1 / TARGET_SIZE.zones
 
 FAILURES = (
-    FailurePlan("one backend fails", FAILURES_OFTEN, news_of("1 change", ONE_CHANGE)),
-    FailurePlan("ordinary restarts and replacements, each second", RESTARTS_OFTEN, (
-        RowPlan("messages", "changes told/s", DELTAS, given=Factor(
+    FailurePlan("one backend fails", FAILURE_FREQUENCY, change_propagation_rows("1 change", ONE_CHANGE)),
+    FailurePlan("ordinary restarts and replacements, each second", RESTART_FREQUENCY, (
+        RowPlan("messages", "changes told/s", DELTAS, from_size=Factor(
             "list writes/s x gateways", lambda target: target.list_writes_per_second * target.gateways)),
         RowPlan("bytes for changes", "bytes/s", DELTAS, (Term("change_bytes", ("backends",), Factor(
             "list writes/s x gateways", lambda target: target.list_writes_per_second * target.gateways)),)),
@@ -362,17 +364,17 @@
                 "gateway restarts a day / 86,400 s",
                 lambda target: target.gateway_restarts_per_day / coming.SECONDS_PER_DAY)),)),
         RowPlan("seconds until the last gateway knows", "s", DELTAS, (Term(
-            "news_longest_ms", ("gateways",), SECONDS),)),
+            "news_longest_ms", ("gateways",), MS_TO_SECONDS),)),
     )),
     FailurePlan(f"a rack or switch with {coming.RACK_MACHINES} backends", "every week",
-                news_of("machines of a rack", RACK_CHANGES)),
-    FailurePlan("a zone: its backends", "once or twice a year", news_of("backends of a zone", ZONE_BACKENDS)),
+                change_propagation_rows("machines of a rack", RACK_CHANGES)),
+    FailurePlan("a zone: its backends", "once or twice a year", change_propagation_rows("backends of a zone", ZONE_BACKENDS)),
     FailurePlan("a zone: all its gateways return together", "once or twice a year",
-                return_of("gateways of a zone", ZONE_SHARE)),
-    FailurePlan("all gateways return together", "not named by the operators", return_of("gateways", 1.0)),
+                mass_restart_rows("gateways of a zone", ZONE_SHARE)),
+    FailurePlan("all gateways return together", "not named by the operators", mass_restart_rows("gateways", 1.0)),
     FailurePlan("a region is apart for an hour", "now and then", (
-        RowPlan("messages", "changes missed", FULL_STATE, given=MISSED_CHANGES, missing=REGION_QUOTA),
-        lists_of("gateways of a region, one whole list each", REGION_GATEWAYS),
-        unmeasured("seconds until all are told", "s", REGION_QUOTA, IN_FORCE),
+        RowPlan("messages", "changes missed", FULL_STATE, from_size=MISSED_CHANGES, missing_mechanism=REGION_QUOTA),
+        full_list_row("gateways of a region, one whole list each", REGION_GATEWAYS),
+        unmeasured_row("seconds until all are told", "s", REGION_QUOTA, PROPAGATION_SECONDS),
     )),
 )
--- a/embersill/lab/scale/coming_size.py
+++ b/embersill/lab/scale/coming_size.py
@@ -69,7 +69,7 @@
 
 WRITES_PER_RESTART = 2  # a backend's leaving and its joining
 
-COMING_SIZE = CapacityTarget(
+TARGET_SIZE = CapacityTarget(
     gateways=1_100,
     backends=8_500,
     services=350,
@@ -89,9 +89,9 @@
 ADDED_P99_MS = 1.5
 CONTROL_MACHINES = 6
 PROCESS_CPU_SHARE = 1.0  # an event loop runs on one core
-IN_FORCE_SECONDS = 17.0  # until a configuration change is in force everywhere
-COUNTER_CALLS_LEAST = 460.0  # per second and part, as published
-COUNTER_CALLS_MOST = 620.0
-COUNTER_PARTS_MOST = 3
+CONFIG_PROPAGATION_SECONDS = 17.0  # until a configuration change is in force everywhere
+MIN_COUNTER_PART_CALLS = 460.0  # per second and part, as published
+MAX_COUNTER_PART_CALLS = 620.0
+MAX_COUNTER_PARTS = 3
 RACK_MACHINES = 40  # assumed: the operators name no number
-APART_SECONDS = SECONDS_PER_HOUR  # regions lose each other for about this long
+REGION_OUTAGE_SECONDS = SECONDS_PER_HOUR  # regions lose each other for about this long
--- a/embersill/lab/scale/fits.py
+++ b/embersill/lab/scale/fits.py
@@ -13,10 +13,10 @@
 
 from embersill.lab.scale.records import Play, Slope
 
-LEAST_VALUES = 5  # distinct values of an axis, for a line
+MIN_DISTINCT_VALUES = 5  # distinct values of an axis, for a line
 CONFIDENCE = 0.95  # of the slope's interval
 BEND_SIGNIFICANCE = 0.01  # of the quadratic term, two-sided
-ROUNDING = 1e-9  # of the largest figure: bends below this are rounding errors of the fit
+ROUNDING_TOLERANCE = 1e-9  # of the largest figure: bends below this are rounding errors of the fit
 
 Vector = NDArray[np.float64]
 
@@ -30,13 +30,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeastSquares:
+class PolynomialFit:
     """A polynomial fit: coefficients from the constant up, their standard errors, fitted values."""
 
     coefficients: Vector
-    errors: Vector
-    fitted: Vector
-    freedom: int  # degrees of freedom of the residuals
+    standard_errors: Vector
+    fitted_values: Vector
+    degrees_of_freedom: int  # degrees of freedom of the residuals
 
 
 def fit_slopes(plays: Sequence[Play]) -> tuple[Slope, ...]:
@@ -54,12 +54,12 @@
     """The points (value, figure) of each axis and measure."""
     points: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
     for play in plays:
-        for measure, figure in figures_of(play):
+        for measure, figure in measures_of(play):
             points[play.axis, measure].append((play.value, figure))
     return points
 
 
-def figures_of(play: Play) -> Iterator[tuple[str, float]]:
+def measures_of(play: Play) -> Iterator[tuple[str, float]]:
     """All figures of a play, counts first."""
     yield from play.counts.items()
     yield from play.times.items()
@@ -73,15 +73,15 @@
     finite = sorted(point for point in points if all(math.isfinite(number) for number in point))
     values = np.array([value for value, _ in finite], dtype=np.float64)
     figures = np.array([figure for _, figure in finite], dtype=np.float64)
-    if len(np.unique(values)) < LEAST_VALUES:
-        raise NotFitted(f"{measure} over {axis}: fewer than {LEAST_VALUES} values")
+    if len(np.unique(values)) < MIN_DISTINCT_VALUES:
+        raise NotFitted(f"{measure} over {axis}: fewer than {MIN_DISTINCT_VALUES} values")
     if np.ptp(figures) == 0.0:
         return constant_line(axis, measure, values, float(figures[0]))
     middle, reach = float(values.mean()), float(np.ptp(values))
     scaled = (values - middle) / reach
-    line = least_squares(scaled, figures, degree=1)
+    line = fit_polynomial(scaled, figures, degree=1)
     slope = float(line.coefficients[1]) / reach
-    margin = float(line.errors[1]) / reach * float(stats.t.ppf((1 + CONFIDENCE) / 2, line.freedom))
+    margin = float(line.standard_errors[1]) / reach * float(stats.t.ppf((1 + CONFIDENCE) / 2, line.degrees_of_freedom))
     return Slope(
         axis=axis,
         measure=measure,
@@ -89,10 +89,10 @@
         intercept=float(line.coefficients[0]) - slope * middle,
         low=slope - margin,
         high=slope + margin,
-        residual=float(np.sqrt(np.mean((figures - line.fitted) ** 2))),
+        residual=float(np.sqrt(np.mean((figures - line.fitted_values) ** 2))),
         plays=len(finite),
         largest=float(values[-1]),
-        bends=is_bent(scaled, figures, line),
+        bends=has_significant_curvature(scaled, figures, line),
     )
 
 
@@ -102,7 +102,7 @@
                  plays=len(values), largest=float(values[-1]), bends=False)
 
 
-def least_squares(values: Vector, figures: Vector, degree: int) -> LeastSquares:
+def fit_polynomial(values: Vector, figures: Vector, degree: int) -> PolynomialFit:
     """The polynomial of this degree through the points."""
     design = np.vander(values, degree + 1, increasing=True)
     coefficients, *_ = np.linalg.lstsq(design, figures, rcond=None)
@@ -111,23 +111,23 @@
     variance = float(np.sum((figures - fitted) ** 2)) / freedom
     covariance = variance * np.linalg.inv(design.T @ design)
     errors = np.sqrt(np.diag(covariance)).astype(np.float64)
-    return LeastSquares(coefficients.astype(np.float64), errors, fitted.astype(np.float64), freedom)
+    return PolynomialFit(coefficients.astype(np.float64), errors, fitted.astype(np.float64), freedom)
 
 
-def is_bent(values: Vector, figures: Vector, line: LeastSquares) -> bool:
+def has_significant_curvature(values: Vector, figures: Vector, line: PolynomialFit) -> bool:
     """Whether a quadratic term is significant and moves a point by more than plays of one point differ."""
-    curve = least_squares(values, figures, degree=2)
-    effect = float(np.max(np.abs(curve.fitted - line.fitted)))
-    if effect <= max(spread_at_points(values, figures), ROUNDING * float(np.max(np.abs(figures)))):
+    curve = fit_polynomial(values, figures, degree=2)
+    effect = float(np.max(np.abs(curve.fitted_values - line.fitted_values)))
+    if effect <= max(pooled_standard_deviation(values, figures), ROUNDING_TOLERANCE * float(np.max(np.abs(figures)))):
         return False
-    error = float(curve.errors[2])
+    error = float(curve.standard_errors[2])
     if error == 0.0:
         return True
-    significance = 2 * float(stats.t.sf(abs(float(curve.coefficients[2])) / error, curve.freedom))
+    significance = 2 * float(stats.t.sf(abs(float(curve.coefficients[2])) / error, curve.degrees_of_freedom))
     return significance < BEND_SIGNIFICANCE
 
 
-def spread_at_points(values: Vector, figures: Vector) -> float:
+def pooled_standard_deviation(values: Vector, figures: Vector) -> float:
     """The pooled standard deviation of the plays at one value; nought where each was played once."""
     groups = [figures[values == value] for value in np.unique(values)]
     freedom = sum(len(group) - 1 for group in groups)
--- a/embersill/lab/scale/plots.py
+++ b/embersill/lab/scale/plots.py
@@ -71,11 +71,11 @@
     titles = [*(title for title, _ in GROUPS), OTHER_GROUP]
     groups: dict[str, list[Panel]] = {title: [] for title in titles}
     for panel in panels:
-        groups[group_of(panel.measure)].append(panel)
+        groups[group_title(panel.measure)].append(panel)
     return {title: members for title, members in groups.items() if members}
 
 
-def group_of(measure: str) -> str:
+def group_title(measure: str) -> str:
     """The title of the group that a measure's name puts it into."""
     for title, parts in GROUPS:
         if any(part in measure for part in parts):
--- a/embersill/lab/scale/records.py
+++ b/embersill/lab/scale/records.py
@@ -14,7 +14,7 @@
 from embersill.interface import AggregationSettings
 
 FORMAT_VERSION = 1
-BUDGET = AggregationSettings()  # its defaults
+DEFAULT_AGGREGATION = AggregationSettings()  # its defaults
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +31,8 @@
     counter_parts: int = 1  # parts of the counter, each with its own capacity
     counter_calls_per_second: float = 0.0  # capacity of a part; 0: no limit
     aggregators: int = 0  # processes between gateways and counter; 0: gateways call the counter itself
-    gateway_calls_per_second: float = BUDGET.calls_per_second  # counter calls of a gateway, with aggregators
-    gateway_calls_burst: float = BUDGET.burst  # of them, that a gateway may save up
+    gateway_calls_per_second: float = DEFAULT_AGGREGATION.calls_per_second  # counter calls of a gateway, with aggregators
+    gateway_calls_burst: float = DEFAULT_AGGREGATION.burst  # of them, that a gateway may save up
     aggregators_killed: int = 0  # during the play, at once
 
 
--- a/tests/test_scale_aggregation_page.py
+++ b/tests/test_scale_aggregation_page.py
@@ -8,11 +8,12 @@
 import pytest
 
 from embersill.lab.scale.aggregation_runs import (
-    AFTER, BEFORE, FAILOVER, FLEETS, PLAYS, plan_all, plan_comparison, plan_failover,
+    FAILOVER, FLEETS, PLAYS_PER_SIZE, WITHOUT_AGGREGATORS, WITH_AGGREGATORS, plan_all, plan_comparison,
+    plan_failover,
 )
 from embersill.lab.scale.aggregation_tables import build_tables, check_page, main
 from embersill.lab.scale.bounds import broken_bounds
-from embersill.lab.scale.capacity import page_tables
+from embersill.lab.scale.capacity import read_page_tables
 from embersill.lab.scale.records import FORMAT_VERSION, Play, Record, read_record, write_record
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -24,7 +25,7 @@
 
 
 def test_the_page_has_a_place_for_each_table() -> None:
-    assert set(page_tables(PAGE.read_text())) == set(build_tables(Record(FORMAT_VERSION, "", "", 1, ())))
+    assert set(read_page_tables(PAGE.read_text())) == set(build_tables(Record(FORMAT_VERSION, "", "", 1, ())))
 
 
 def test_recorded_counts_keep_to_the_protocols_bounds() -> None:
@@ -71,12 +72,12 @@
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_plays_without_and_with_aggregators_are_drawn_alike(fleet: str) -> None:
     plans = plan_comparison(fleet)
-    for number in range(PLAYS):
+    for number in range(PLAYS_PER_SIZE):
         together = [plan for plan in plans if plan.number == number]
-        assert {plan.axis for plan in together} == {BEFORE, AFTER}
+        assert {plan.axis for plan in together} == {WITHOUT_AGGREGATORS, WITH_AGGREGATORS}
         assert len({plan.seed for plan in together}) == 1
         assert len({replace(plan.size, aggregators=0) for plan in together}) == 1
-    assert len({plan.seed for plan in plans}) == PLAYS
+    assert len({plan.seed for plan in plans}) == PLAYS_PER_SIZE
 
 
 def test_a_failover_kills_one_of_its_aggregators_early() -> None:
--- a/tests/test_scale_capacity.py
+++ b/tests/test_scale_capacity.py
@@ -14,29 +14,14 @@
 
 from embersill.lab.scale import capacity, coming_size
 from embersill.lab.scale.capacity import (
-    BAD_USE,
-    DIFFERS,
-    DONE,
-    BadPage,
-    build_tables,
-    differences,
-    evaluate,
-    filled_tables,
-    main_capacity,
-    page_tables,
-    replace_tables,
+    DIFFERS, DONE, USAGE_ERROR, BadPage, build_tables, evaluate_row, find_differences, find_nonempty_tables,
+    main_capacity, read_page_tables, replace_tables,
 )
 from embersill.lab.scale.capacity_model import (
-    CapacityModel,
-    Factor,
-    Kind,
-    NotMeasured,
-    OutsideModel,
-    Term,
-    number,
+    CapacityModel, Factor, NotMeasured, Origin, OutsideModel, Term, format_number,
 )
-from embersill.lab.scale.capacity_plan import FAILURES, ROLES, Budget, RowPlan
-from embersill.lab.scale.coming_size import COMING_SIZE
+from embersill.lab.scale.capacity_plan import FAILURES, ROLE_TABLES, Budget, RowPlan
+from embersill.lab.scale.coming_size import TARGET_SIZE
 from embersill.lab.scale.fits import CONFIDENCE, NotExtrapolated
 from embersill.lab.scale.records import FORMAT_VERSION, FleetSize, Play, Record, read_record, write_record
 
@@ -157,28 +142,28 @@
 def test_the_page_is_the_record_or_holds_no_figure() -> None:
     page = PAGE.read_text()
     if RECORD.exists():
-        assert differences(page, build_tables(read_record(RECORD))) == []
+        assert find_differences(page, build_tables(read_record(RECORD))) == []
     else:
-        assert filled_tables(page) == []
+        assert find_nonempty_tables(page) == []
     assert check(RECORD, PAGE) == DONE
 
 
 def test_the_page_has_a_place_for_each_table(tables: dict[str, str]) -> None:
-    assert set(page_tables(PAGE.read_text())) == set(tables)
+    assert set(read_page_tables(PAGE.read_text())) == set(tables)
 
 
 def letter_figures() -> set[str]:
     """The figures that the prose may quote: the operators', and those of the method."""
-    named = [getattr(COMING_SIZE, field.name) for field in dataclasses.fields(COMING_SIZE)]
-    named += [coming_size.IN_FORCE_SECONDS, coming_size.ADDED_P99_MS, coming_size.GATEWAY_MEMORY_MB,
+    named = [getattr(TARGET_SIZE, field.name) for field in dataclasses.fields(TARGET_SIZE)]
+    named += [coming_size.CONFIG_PROPAGATION_SECONDS, coming_size.ADDED_P99_MS, coming_size.GATEWAY_MEMORY_MB,
               100 * coming_size.GATEWAY_CPU_SHARE, coming_size.GATEWAY_BYTES_PER_SECOND / 1_000,
-              coming_size.CONTROL_MACHINES, coming_size.COUNTER_CALLS_LEAST, coming_size.COUNTER_CALLS_MOST,
-              coming_size.COUNTER_PARTS_MOST, 1, 99, 100, 100 * CONFIDENCE]
-    return {number(value) for value in named}
+              coming_size.CONTROL_MACHINES, coming_size.MIN_COUNTER_PART_CALLS, coming_size.MAX_COUNTER_PART_CALLS,
+              coming_size.MAX_COUNTER_PARTS, 1, 99, 100, 100 * CONFIDENCE]
+    return {format_number(value) for value in named}
 
 
 def test_prose_quotes_no_figure_but_the_operators() -> None:
-    prose = replace_tables(PAGE.read_text(), dict.fromkeys(page_tables(PAGE.read_text()), ""))
+    prose = replace_tables(PAGE.read_text(), dict.fromkeys(read_page_tables(PAGE.read_text()), ""))
     assert set(re.findall(r"\d[\d,.]*\d|\d", prose)) <= letter_figures()
 
 
@@ -193,15 +178,15 @@
     assert page.read_text() == before
 
 
-@pytest.mark.parametrize("name", sorted(page_tables(PAGE.read_text())))
+@pytest.mark.parametrize("name", sorted(read_page_tables(PAGE.read_text())))
 def test_any_changed_digit_is_told_with_its_row(name: str, tables: dict[str, str]) -> None:
     good = replace_tables(PAGE.read_text(), tables)
     body = tables[name]
     digits = [found.start() for found in re.finditer(r"\d", body)]
-    assert digits and differences(good, tables) == []
+    assert digits and find_differences(good, tables) == []
     for at in digits:
         changed = body[:at] + str((int(body[at]) + 1) % 10) + body[at + 1:]
-        [line] = differences(replace_tables(good, tables | {name: changed}), tables)
+        [line] = find_differences(replace_tables(good, tables | {name: changed}), tables)
         assert line.startswith(f"table {name}, row {body[:at].count(chr(10)) - 1}: ")
 
 
@@ -224,7 +209,7 @@
     change: Callable[[str], str], site: tuple[pathlib.Path, pathlib.Path]
 ) -> None:
     record, page = site
-    body = page_tables(page.read_text())["order"]
+    body = read_page_tables(page.read_text())["order"]
     page.write_text(page.read_text().replace(body, change(body)))
     assert check(record, page) == DIFFERS
 
@@ -236,14 +221,14 @@
     record.unlink()
     assert check(record, page) == DIFFERS
     assert "table gateway holds rows, but there is no record" in capsys.readouterr().err
-    assert main_capacity([str(record), "--page", str(page)]) == BAD_USE
+    assert main_capacity([str(record), "--page", str(page)]) == USAGE_ERROR
 
 
 @pytest.mark.parametrize("spoil", [
     lambda page: page.replace("<!-- table: order -->", ""),
     lambda page: page.replace("<!-- table: order -->", "<!-- table: other -->"),
     lambda page: page.replace("<!-- table: order -->", "<!-- table: gateway -->"),
-    lambda page: page[::-1].replace(capacity.END[::-1], "", 1)[::-1],
+    lambda page: page[::-1].replace(capacity.END_MARKER[::-1], "", 1)[::-1],
 ])
 def test_a_page_with_torn_markers_is_bad_use(
     spoil: Callable[[str], str], site: tuple[pathlib.Path, pathlib.Path]
@@ -251,9 +236,9 @@
     record, page = site
     page.write_text(spoil(page.read_text()))
     with pytest.raises(BadPage):
-        differences(page.read_text(), build_tables(made_record()))
-    assert check(record, page) == BAD_USE
-    assert main_capacity([str(record), "--page", str(page)]) == BAD_USE
+        find_differences(page.read_text(), build_tables(made_record()))
+    assert check(record, page) == USAGE_ERROR
+    assert main_capacity([str(record), "--page", str(page)]) == USAGE_ERROR
 
 
 def test_the_command_works_by_itself(site: tuple[pathlib.Path, pathlib.Path]) -> None:
@@ -263,14 +248,14 @@
     assert subprocess.run(command, cwd=ROOT, timeout=60).returncode == DONE
     record.write_text("{}")
     ended = subprocess.run(command, cwd=ROOT, timeout=60, capture_output=True, text=True)
-    assert ended.returncode == BAD_USE and ended.stderr.startswith("record.json: ")
+    assert ended.returncode == USAGE_ERROR and ended.stderr.startswith("record.json: ")
 
 
 # rows
 
 
 def test_every_figure_has_its_origin(tables: dict[str, str]) -> None:
-    kinds = {kind.value for kind in Kind}
+    kinds = {kind.value for kind in Origin}
     for name in set(tables) - {"record", "order", "failures"}:
         for quantity, figure, origin, how, slopes, run, *_ in rows_of(tables[name]):
             assert quantity and origin in kinds and how
@@ -311,11 +296,11 @@
 
 def test_each_mechanism_stands_with_its_smallest_part(tables: dict[str, str], model: CapacityModel) -> None:
     smallest: dict[str, float] = {}
-    for plan in ROLES:
+    for plan in ROLE_TABLES:
         for row in plan.rows:
-            crossing = evaluate(plan.name, row, model).crossing
-            if row.missing and crossing is not None and crossing.part is not None:
-                smallest[row.missing] = min(crossing.part, smallest.get(row.missing, math.inf))
+            crossing = evaluate_row(plan.name, row, model).crossing
+            if row.missing_mechanism and crossing is not None and crossing.size_fraction is not None:
+                smallest[row.missing_mechanism] = min(crossing.size_fraction, smallest.get(row.missing_mechanism, math.inf))
     shown = {row[1]: row[3] for row in rows_of(tables["order"])}
     assert smallest
     for mechanism, part in smallest.items():
@@ -338,9 +323,9 @@
 
 @pytest.mark.parametrize("measure", MEASURES)
 def test_each_measure_has_a_row(measure: str) -> None:
-    plans = [row for table in ROLES for row in table.rows] + [row for plan in FAILURES for row in plan.rows]
+    plans = [row for table in ROLE_TABLES for row in table.rows] + [row for plan in FAILURES for row in plan.rows]
     terms = [term for plan in plans for term in plan.terms]
-    terms += [term.times for term in terms if term.times is not None]
+    terms += [term.multiplied_by for term in terms if term.multiplied_by is not None]
     assert measure in {term.measure for term in terms}
 
 
@@ -352,18 +337,18 @@
 
 
 def test_a_played_value_is_measured(model: CapacityModel) -> None:
-    result = evaluate("role", row(Term("list_bytes_out_leader", ("gateways",))), model)
-    assert result.kind is Kind.MEASURED
-    assert result.how.startswith("list_bytes_out_leader (measured at 1,100 gateways")
-    assert result.reading is not None and result.reading.value == 300.0 * 1_100
+    result = evaluate_row("role", row(Term("list_bytes_out_leader", ("gateways",))), model)
+    assert result.origin is Origin.MEASURED
+    assert result.explanation.startswith("list_bytes_out_leader (measured at 1,100 gateways")
+    assert result.estimate is not None and result.estimate.value == 300.0 * 1_100
 
 
 def test_one_axis_is_read_from_its_line(model: CapacityModel) -> None:
-    result = evaluate("role", row(Term("whole_list_bytes", ("backends",))), model)
-    assert result.kind is Kind.LINE
-    assert result.how == ("whole_list_bytes (line through 50..800 backends, extended 10.6 times; "
+    result = evaluate_row("role", row(Term("whole_list_bytes", ("backends",))), model)
+    assert result.origin is Origin.FITTED
+    assert result.explanation == ("whole_list_bytes (line through 50..800 backends, extended 10.6 times; "
                           "flat over gateways, customers, requests, changes)")
-    assert result.reading is not None and math.isclose(result.reading.value, 20.0 + 80.0 * 8_500)
+    assert result.estimate is not None and math.isclose(result.estimate.value, 20.0 + 80.0 * 8_500)
 
 
 COMING_MET = 39_000 * BASE.spread / 1_100  # customers that come to one gateway
@@ -371,68 +356,68 @@
 
 
 def test_axes_add_up_from_where_the_first_was_played(model: CapacityModel) -> None:
-    term = Term("control_cpu_share", ("gateways", "backends", "customers", "requests"), at_gateway=True)
-    result = evaluate("role", row(term, most=CPU / 2), model)
-    assert result.kind is Kind.RECKONED and result.reading is not None
-    assert math.isclose(result.reading.value, CPU, rel_tol=0.01)
-    assert result.ratio is not None and math.isclose(result.ratio, 2.0, rel_tol=0.01)
-    assert result.crossing is not None and result.crossing.part is not None
+    term = Term("control_cpu_share", ("gateways", "backends", "customers", "requests"), of_one_gateway=True)
+    result = evaluate_row("role", row(term, most=CPU / 2), model)
+    assert result.origin is Origin.CALCULATED and result.estimate is not None
+    assert math.isclose(result.estimate.value, CPU, rel_tol=0.01)
+    assert result.budget_ratio is not None and math.isclose(result.budget_ratio, 2.0, rel_tol=0.01)
+    assert result.crossing is not None and result.crossing.size_fraction is not None
     fixed = 0.001 + 0.00001 * COMING_MET + 0.0001 * 240_000 / 1_100  # the same at each part of the size
-    assert math.isclose(result.crossing.part, (CPU / 2 - fixed) / (CPU - fixed), abs_tol=0.03)
+    assert math.isclose(result.crossing.size_fraction, (CPU / 2 - fixed) / (CPU - fixed), abs_tol=0.03)
 
 
 def test_a_gateways_cost_follows_the_customers_that_come_to_it(model: CapacityModel) -> None:
-    term = Term("customers_per_gateway", ("gateways", "customers"), at_gateway=True)
-    assert math.isclose(model.read_term(term, COMING_SIZE).value, COMING_MET, rel_tol=0.001)
-    only = Term("customers_per_gateway", ("customers",), at_gateway=True)
-    assert math.isclose(model.read_term(only, COMING_SIZE).value, COMING_MET, rel_tol=0.001)
+    term = Term("customers_per_gateway", ("gateways", "customers"), of_one_gateway=True)
+    assert math.isclose(model.estimate_term(term, TARGET_SIZE).value, COMING_MET, rel_tol=0.001)
+    only = Term("customers_per_gateway", ("customers",), of_one_gateway=True)
+    assert math.isclose(model.estimate_term(only, TARGET_SIZE).value, COMING_MET, rel_tol=0.001)
 
 
 def test_a_sum_of_terms_and_a_factor_are_reckoned(model: CapacityModel) -> None:
     gateways = Factor("gateways", lambda target: target.gateways)
     terms = [Term(f"counter_bytes_{way}_per_gateway", ("gateways", "customers", "requests"), gateways,
-                  at_gateway=True) for way in ("out", "in")]
-    result = evaluate("role", row(*terms), model)
+                  of_one_gateway=True) for way in ("out", "in")]
+    result = evaluate_row("role", row(*terms), model)
     wanted = (15.0 * 240_000 / 1_100 + 0.6 * COMING_MET) * 1_100
-    assert result.kind is Kind.RECKONED and result.how.count(" x gateways") == 2
-    assert result.reading is not None and math.isclose(result.reading.value, wanted, rel_tol=1e-3)
+    assert result.origin is Origin.CALCULATED and result.explanation.count(" x gateways") == 2
+    assert result.estimate is not None and math.isclose(result.estimate.value, wanted, rel_tol=1e-3)
 
 
 def test_a_cost_per_call_is_multiplied_by_calls(model: CapacityModel) -> None:
-    rows = next(table.rows for table in ROLES if table.name == "counter")
+    rows = next(table.rows for table in ROLE_TABLES if table.name == "counter")
     plan = next(row for row in rows if row.quantity == "CPU")
-    result = evaluate("counter", plan, model)
+    result = evaluate_row("counter", plan, model)
     calls = (0.2 * 240_000 / 1_100 + 0.01 * COMING_MET) * 1_100
-    assert result.kind is Kind.RECKONED and result.how.startswith("counter_us_per_call (")
-    assert " x counter_calls_per_gateway (" in result.how
-    assert result.reading is not None and math.isclose(result.reading.value, 20e-6 * calls, rel_tol=0.01)
+    assert result.origin is Origin.CALCULATED and result.explanation.startswith("counter_us_per_call (")
+    assert " x counter_calls_per_gateway (" in result.explanation
+    assert result.estimate is not None and math.isclose(result.estimate.value, 20e-6 * calls, rel_tol=0.01)
 
 
 def test_an_axis_without_a_line_is_held_and_told() -> None:
     short = CapacityModel(made_record(["backends"]).plays)
-    reading = short.read_term(Term("whole_list_bytes", ("backends",)), COMING_SIZE)
-    assert reading.how.endswith("; gateways, customers, requests, changes as played)")
+    reading = short.estimate_term(Term("whole_list_bytes", ("backends",)), TARGET_SIZE)
+    assert reading.derivation.endswith("; gateways, customers, requests, changes as played)")
 
 
 def test_a_bent_curve_is_not_extended_but_read_between_its_points(model: CapacityModel) -> None:
     term = Term("whole_list_ms", ("backends",))
-    result = evaluate("role", row(term, most=7.0), model)
-    assert result.kind is Kind.NOT_EXTENDED and result.reading is None and result.ratio is None
-    assert "bends over backends" in result.how and "14.4 there" in result.how
-    assert result.crossing is not None and result.crossing.part == 0.06  # between 400 and 800 backends
-    unpassed = evaluate("role", row(term, most=1_000.0), model).crossing
+    result = evaluate_row("role", row(term, most=7.0), model)
+    assert result.origin is Origin.NOT_EXTRAPOLATED and result.estimate is None and result.budget_ratio is None
+    assert "bends over backends" in result.explanation and "14.4 there" in result.explanation
+    assert result.crossing is not None and result.crossing.size_fraction == 0.06  # between 400 and 800 backends
+    unpassed = evaluate_row("role", row(term, most=1_000.0), model).crossing
     assert unpassed is not None and unpassed.text == "beyond what was played"
     curve = model.curves["backends", "whole_list_ms"]
     with pytest.raises(NotExtrapolated):
-        curve.at(810.0)
-    below = curve.at(40.0)
-    assert math.isclose(below.value, 0.525 + (0.525 - 1.1) / 50 * 10) and "extended down to 40" in below.how
+        curve.estimate_at(810.0)
+    below = curve.estimate_at(40.0)
+    assert math.isclose(below.value, 0.525 + (0.525 - 1.1) / 50 * 10) and "extended down to 40" in below.derivation
 
 
 def test_a_slope_that_may_be_nought_adds_nothing(model: CapacityModel) -> None:
     curve = model.curves["requests", "news_longest_ms"]
     assert curve.is_flat
-    assert math.isclose(curve.at(10_000.0).value, 30.0 + 0.1 * BASE.gateways, rel_tol=1e-6)
+    assert math.isclose(curve.estimate_at(10_000.0).value, 30.0 + 0.1 * BASE.gateways, rel_tol=1e-6)
 
 
 def test_a_figure_below_nought_is_refused() -> None:
@@ -441,33 +426,33 @@
         for value in (50, 100, 200, 400, 800)
     ])
     term = Term("falling", ("gateways",))
-    assert math.isclose(falling.read_term(term, COMING_SIZE.scaled(0.5)).value, 450.0)
+    assert math.isclose(falling.estimate_term(term, TARGET_SIZE.scaled(0.5)).value, 450.0)
     with pytest.raises(OutsideModel):
-        falling.read_term(term, COMING_SIZE)
-    assert evaluate("role", row(term), falling).kind is Kind.NOT_EXTENDED
+        falling.estimate_term(term, TARGET_SIZE)
+    assert evaluate_row("role", row(term), falling).origin is Origin.NOT_EXTRAPOLATED
 
 
 def test_restarts_are_read_from_plays_with_restarts_alone(model: CapacityModel) -> None:
     assert ("gateways", "restart_list_calls_fleet") not in model.curves
     gateways = Factor("gateways", lambda target: target.gateways)
-    term = Term("restart_list_calls_fleet", ("restarted",), gateways, settled={"restarted": 1 / 15},
-                per_gateway=True)
-    assert math.isclose(model.read_term(term, COMING_SIZE).value, 2.0 / 15 * 1_100, rel_tol=1e-6)
+    term = Term("restart_list_calls_fleet", ("restarted",), gateways, fixed_values={"restarted": 1 / 15},
+                divide_by_gateways=True)
+    assert math.isclose(model.estimate_term(term, TARGET_SIZE).value, 2.0 / 15 * 1_100, rel_tol=1e-6)
 
 
 def test_too_few_values_are_measured_where_played_and_not_elsewhere() -> None:
     few = CapacityModel([made_play("gateways", value, 0) for value in (50, 1_100)])
     term = Term("list_bytes_out_leader", ("gateways",))
-    assert few.read_term(term, COMING_SIZE).kind is Kind.MEASURED
+    assert few.estimate_term(term, TARGET_SIZE).origin is Origin.MEASURED
     with pytest.raises(NotMeasured):
-        few.read_term(term, COMING_SIZE.scaled(0.5))
+        few.estimate_term(term, TARGET_SIZE.scaled(0.5))
 
 
 def test_figures_that_are_not_finite_are_no_figures() -> None:
     play = made_play("gateways", 1_100, 0)
     spoilt = dataclasses.replace(play, counts={"list_bytes_out_leader": math.nan})
     with pytest.raises(NotMeasured):
-        CapacityModel([spoilt]).read_term(Term("list_bytes_out_leader", ("gateways",)), COMING_SIZE)
+        CapacityModel([spoilt]).estimate_term(Term("list_bytes_out_leader", ("gateways",)), TARGET_SIZE)
 
 
 @pytest.mark.parametrize(("value", "text"), [
@@ -475,4 +460,4 @@
     (0.000_012_3, "1.23e-05"), (0.123_456, "0.123"), (12.34, "12.3"), (-0.5, "-0.5"), (2_900.0, "2,900"),
 ])
 def test_numbers_have_three_digits(value: float, text: str) -> None:
-    assert number(value) == text
+    assert format_number(value) == text
--- a/tests/test_scale_command.py
+++ b/tests/test_scale_command.py
@@ -19,7 +19,7 @@
 from embersill.lab.__main__ import parser
 from embersill.lab.scale import aggregators
 from embersill.lab.scale.axes import SMALL_AXES, SMALL_BASE, RunSettings, plan_plays
-from embersill.lab.scale.command import BadScaleUse, check_room, estimate, run_command
+from embersill.lab.scale.command import BadScaleUse, check_resources, estimate_duration, run_command
 from embersill.lab.scale.records import Record, read_record
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -140,22 +140,22 @@
 
 def test_a_fleet_too_large_for_the_memory_is_told() -> None:
     plans = plan_plays(SMALL_AXES, RunSettings(1, 1.0, 1.0, 4, 0))
-    check_room(plans)
+    check_resources(plans)
     huge = replace(plans[0], size=replace(plans[0].size, backends=10**9))
     with pytest.raises(BadScaleUse, match="GB"):
-        check_room([huge])
+        check_resources([huge])
 
 
 def test_too_many_processes_are_told() -> None:
     plan = plan_plays(SMALL_AXES, RunSettings(1, 1.0, 1.0, 4, 1))[0]
     with pytest.raises(BadScaleUse, match="301 processes"):
-        check_room([replace(plan, size=replace(plan.size, aggregators=291))])  # and their list service
+        check_resources([replace(plan, size=replace(plan.size, aggregators=291))])  # and their list service
 
 
 def test_the_small_run_ends_within_its_stated_time() -> None:
     plans = plan_plays(SMALL_AXES, RunSettings(1, 1.5, 0.5, 4, 1))
-    assert estimate(plans, 100.0).limit == 100.0
-    assert estimate(plans).likely < 100.0
+    assert estimate_duration(plans, 100.0).timeout_seconds == 100.0
+    assert estimate_duration(plans).expected_seconds < 100.0
 
 
 def test_a_run_keeps_its_record_and_judges_its_counts(tmp_path: pathlib.Path, started: list[Command]) -> None:
--- a/tests/test_scale_fits.py
+++ b/tests/test_scale_fits.py
@@ -11,14 +11,9 @@
 from hypothesis import strategies as st
 
 from embersill.lab.scale.fits import (
-    LEAST_VALUES,
-    NotExtrapolated,
-    NotFitted,
-    fit_line,
-    fit_slopes,
-    predict,
+    MIN_DISTINCT_VALUES, NotExtrapolated, NotFitted, fit_line, fit_slopes, predict,
 )
-from embersill.lab.scale.plots import group_of, write_plots
+from embersill.lab.scale.plots import group_title, write_plots
 from embersill.lab.scale.records import FORMAT_VERSION, FleetSize, Play, Record
 
 SIZE = FleetSize(1, 1, 1, 1, 1.0, 1.0, 0.0)
@@ -27,7 +22,7 @@
 
 amounts = st.floats(-1e6, 1e6).filter(lambda amount: amount == 0.0 or abs(amount) > 1e-3)
 steep = st.floats(0.01, 1e4) | st.floats(-1e4, -0.01)
-axis_values = st.lists(st.integers(1, 20_000), min_size=LEAST_VALUES, max_size=10, unique=True)
+axis_values = st.lists(st.integers(1, 20_000), min_size=MIN_DISTINCT_VALUES, max_size=10, unique=True)
 
 
 def play(axis: str, value: float, number: int, counts: dict[str, float], times: dict[str, float]) -> Play:
@@ -105,7 +100,7 @@
     try:
         found = fit_line("a", "m", points)
     except NotFitted:
-        assert len({value for value, _ in points}) < LEAST_VALUES
+        assert len({value for value, _ in points}) < MIN_DISTINCT_VALUES
     else:
         assert all(map(math.isfinite, (found.slope, found.intercept, found.low, found.high, found.residual)))
         assert found.low <= found.slope <= found.high
@@ -145,9 +140,9 @@
 
 @pytest.mark.parametrize("points", [
     [], [(1.0, 1.0)], [(1.0, 1.0), (2.0, 2.0)], [(1.0, float(play)) for play in range(9)],
-    [(float(value), 1.0 if value else math.nan) for value in range(LEAST_VALUES)],
-    [(float(value), 1.0 if value else math.inf) for value in range(LEAST_VALUES)],
-    [(math.nan, float(value)) for value in range(LEAST_VALUES)],
+    [(float(value), 1.0 if value else math.nan) for value in range(MIN_DISTINCT_VALUES)],
+    [(float(value), 1.0 if value else math.inf) for value in range(MIN_DISTINCT_VALUES)],
+    [(math.nan, float(value)) for value in range(MIN_DISTINCT_VALUES)],
 ])
 def test_too_few_points_are_a_typed_error(points: Points) -> None:
     with pytest.raises(NotFitted):
@@ -194,4 +189,4 @@
     ("restart_all_told_s", "Elapsed time"), ("counter_names_active", "Other"),
 ])
 def test_measures_stand_with_their_like(measure: str, group: str) -> None:
-    assert group_of(measure) == group
+    assert group_title(measure) == group
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -12,7 +12,7 @@
 import pytest
 
 from embersill.lab.scale.axes import SMALL_BASE
-from embersill.lab.scale.bounds import bounds, broken_bounds
+from embersill.lab.scale.bounds import protocol_bounds, broken_bounds
 from embersill.lab.scale.deployment import Deployment, QuotaPlan, quota_tier
 from embersill.lab.scale.messages import GatewayCounts, QuotaEvents
 from embersill.lab.scale.plan import PlayPlan
@@ -107,12 +107,12 @@
 
 def test_a_count_over_its_bound_is_told(side_by_side: PlayResult) -> None:
     play = side_by_side.play
-    for bound in bounds(play):
-        over = 1.01 * bound.most
+    for bound in protocol_bounds(play):
+        over = 1.01 * bound.max_value
         changed = replace(play, counts={**play.counts, bound.measure: over})
         told = [broken for broken in broken_bounds(changed) if broken.measure == bound.measure]
         assert len(told) == 1, bound
-        assert f"{bound.measure} is {over:.6g}, over {bound.most:.6g}" in str(told[0])
+        assert f"{bound.measure} is {over:.6g}, over {bound.max_value:.6g}" in str(told[0])
 
 
 def test_gateways_that_restart_together_get_the_whole_list_once(tmp_path: pathlib.Path) -> None:
