--- a/embersill/lab/scale/capacity_model.py
+++ b/embersill/lab/scale/capacity_model.py
@@ -1,18 +1,19 @@
-"""Figures at a size that was not played as a whole, from plays that vary one axis at a time.
-
-The model, in three steps:
-
-* One axis: at a value that was played, the mean of its plays. Elsewhere the fitted line. Where the plays
-  bend, the straight connection between neighbouring points, going on below the smallest, and nothing beyond
-  the largest. Where the slope's interval includes nought, the mean of all plays.
-* Several axes add: the figure on the first axis of a term, the anchor, plus for each further axis the
-  difference of that axis's curve between the wanted value and the value at which the anchor was played.
-  A slope whose interval includes nought adds nothing. What one gateway spends follows the customers that
-  come to it: there the customers axis is read where it brings as many to each of its own gateways.
-* A row is the sum of its terms. A term is such a figure, times another one (a cost per call times calls),
-  times a factor that is reckoned from the size (a figure per gateway times gateways).
-
-All that is combined in the second or third step is marked as reckoned, also if the parts were measured.
+"""Estimates of measures at fleet sizes that were never run, from runs that vary one axis at a time.
+
+A play is one run of a fleet at one value of an axis. The model has three steps:
+
+* One axis: at a value that was played, the mean of its plays; elsewhere the fitted line. If the measure is
+  not linear, linear interpolation between neighbouring points, extrapolated below the smallest value but
+  never beyond the largest. If the confidence interval of the slope includes zero, the mean of all plays.
+* Several axes add up: the estimate on the first axis of a term, the anchor, plus for each further axis the
+  difference of that axis's curve between the target value and the value at which the anchor was played.
+  A slope whose interval includes zero adds nothing. The cost of one gateway depends on the number of
+  customers that use it: for such measures the customers axis is evaluated at the value that gives each of
+  its own gateways as many customers.
+* A row is the sum of its terms. A term is such an estimate, times another one (a cost per call times calls),
+  times a factor that is calculated from the size (a value per gateway times gateways).
+
+The result of the second or third step has the origin "reckoned", even if all its parts were measured.
 """
 
 from __future__ import annotations
@@ -27,20 +28,20 @@
 import numpy as np
 
 from embersill.lab.scale.coming_size import CapacityTarget
-from embersill.lab.scale.fits import NotExtrapolated, measures_of, fit_slopes, predict
+from embersill.lab.scale.fits import NotExtrapolated, fit_slopes, measures_of, predict
 from embersill.lab.scale.records import FleetSize, Play, Slope
 
-RESTART_PREFIX = "restart_"  # begins the names of measures that only plays with restarts have
-COUNTER_US_PER_CALL = "counter_us_per_call"  # reckoned from two measures of the same play
-AXIS_VALUE_TOLERANCE = 0.005  # relative difference up to which two values of an axis are one
+RESTART_PREFIX = "restart_"  # of the names of measures that only plays with restarts have
+COUNTER_US_PER_CALL = "counter_us_per_call"  # calculated from two measures of the same play
+AXIS_VALUE_TOLERANCE = 0.005  # relative difference below which two axis values are equal
 MICROSECONDS_PER_SECOND = 1_000_000
 
-AxisValues = Mapping[str, float]  # by axis
+AxisValues = Mapping[str, float]  # by axis name
 Item = TypeVar("Item")
 
 
 class Origin(enum.Enum):
-    """Where a figure comes from."""
+    """Where a figure comes from; the values are printed in the tables."""
 
     MEASURED = "measured"
     FITTED = "line"
@@ -51,16 +52,16 @@
 
 
 class NotMeasured(Exception):
-    """The record has no plays from which the figure could come."""
+    """The record has no plays from which the figure can be estimated."""
 
 
 class OutsideModel(Exception):
-    """The model has no figure there: it came out negative."""
+    """The model's estimate is negative and therefore not valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Factor:
-    """A number that is reckoned from the size alone, and its formula in words."""
+    """A number that is calculated from the size alone, and its formula in words."""
 
     formula: str
     calculate: Callable[[CapacityTarget], float]
@@ -68,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """A measure at the wanted size, times a factor.
+    """A measure at the target size, times a factor.
 
-    `over` are the axes that the measure has to have been played over, the anchor first. `settled` are axes
-    whose wanted value the term itself names, like the share of gateways that start again. `at_gateway` is
-    for what one gateway has, spends or sees. With `per_gateway` the measure, taken over the played fleet, is
-    divided by the number of its gateways.
+    `axes` are the axes over which plays of the measure are required, the anchor first. `fixed_values` holds
+    axes whose target value the term itself sets, like the share of gateways that restart. `of_one_gateway`
+    marks a measure of a single gateway. With `divide_by_gateways` the measure is a total of the played fleet
+    and is divided by the number of its gateways.
     """
 
     measure: str
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure of one measure, and how it was come by."""
+    """The value of a measure at one size, and how it was derived."""
 
     value: float
     origin: Origin
@@ -98,16 +99,16 @@
 
 @dataclass(frozen=True)
 class Curve:
-    """All plays of one axis that have one measure."""
+    """All plays of one axis that report one measure."""
 
     axis: str
     measure: str
-    plays: tuple[Play, ...]  # by value
+    plays: tuple[Play, ...]  # sorted by axis value
     slope: Slope | None  # None: too few values for a line
 
     @cached_property
     def points(self) -> dict[float, float]:
-        """The mean figure of the plays at each value."""
+        """The mean of the measure over the plays at each axis value."""
         figures: dict[float, list[float]] = {}
         for play in self.plays:
             figures.setdefault(play.value, []).append(measure_value(play, self.measure))
@@ -115,34 +116,36 @@
 
     @cached_property
     def smallest(self) -> float:
-        """The smallest value that was played."""
+        """The smallest axis value that was played."""
         return min(self.points)
 
     @cached_property
     def largest(self) -> float:
-        """The largest value that was played."""
+        """The largest axis value that was played."""
         return max(self.points)
 
     @cached_property
     def played_range(self) -> str:
-        """The run behind the figures, in words."""
-        return f"{self.axis} {format_number(self.smallest)} to {format_number(self.largest)}, {len(self.plays)} plays"
+        """The axis values and the number of plays behind the curve, in words."""
+        return (f"{self.axis} {format_number(self.smallest)} to {format_number(self.largest)}, "
+                f"{len(self.plays)} plays")
 
     @property
     def size_at_largest(self) -> FleetSize:
-        """The size of the fleet at the largest value."""
+        """The fleet of the play at the largest axis value."""
         return self.plays[-1].size
 
     @cached_property
     def is_flat(self) -> bool:
-        """Whether the slope cannot be told from nought."""
+        """Whether the slope is not significantly different from zero."""
         return self.slope is not None and not self.slope.bends and self.slope.low <= 0.0 <= self.slope.high
 
     def estimate_at(self, value: float) -> Estimate:
-        """The figure at one value; NotMeasured or NotExtrapolated where there is none."""
+        """The estimate at one axis value; raises NotMeasured or NotExtrapolated if there is none."""
         for played, figure in self.points.items():
             if is_same_value(played, value):
-                return self.make_estimate(figure, Origin.MEASURED, f"measured at {format_number(value)} {self.axis}")
+                return self.make_estimate(
+                    figure, Origin.MEASURED, f"measured at {format_number(value)} {self.axis}")
         if self.slope is None:
             raise NotMeasured(f"{self.measure} over {self.axis}: too few values for a line")
         if self.slope.bends:
@@ -153,9 +156,10 @@
         return self.make_estimate(predict(self.slope, value), Origin.FITTED, self.describe_line(value))
 
     def interpolate(self, value: float) -> Estimate:
-        """The figure on the straight connection of the played points around this value.
+        """Linear interpolation between the played points around this axis value.
 
-        Below the smallest the first connection goes on; NotExtrapolated beyond the largest.
+        Below the smallest value the first two points are extrapolated; raises NotExtrapolated beyond the
+        largest.
         """
         if value > self.largest:
             raise NotExtrapolated(
@@ -164,17 +168,19 @@
         if value < self.smallest:
             (first, low), (second, high) = list(self.points.items())[:2]
             figure = low + (high - low) * (value - first) / (second - first)
-            return self.make_estimate(figure, Origin.FITTED, f"curve that bends over {self.axis}, extended down to "
-                                                   f"{format_number(value)} by its first two points")
+            return self.make_estimate(
+                figure, Origin.FITTED, f"curve that bends over {self.axis}, extended down to "
+                                       f"{format_number(value)} by its first two points")
         figure = float(np.interp(value, list(self.points), list(self.points.values())))
-        return self.make_estimate(figure, Origin.FITTED, f"between points of a curve that bends over {self.axis}")
+        return self.make_estimate(
+            figure, Origin.FITTED, f"between points of a curve that bends over {self.axis}")
 
-    def make_estimate(self, figure: float, kind: Origin, how: str) -> Estimate:
-        """A figure of this curve."""
-        return Estimate(figure, kind, how, self.slopes, (self.played_range,))
+    def make_estimate(self, figure: float, origin: Origin, derivation: str) -> Estimate:
+        """An estimate with the slope and the played range of this curve."""
+        return Estimate(figure, origin, derivation, self.slopes, (self.played_range,))
 
     def describe_line(self, value: float) -> str:
-        """The line and how far it was extended, in words."""
+        """The fitted line and how far it is extrapolated, in words."""
         line = f"line through {format_number(self.smallest)}..{format_number(self.largest)} {self.axis}"
         if value > self.largest > 0:
             return f"{line}, extended {format_number(value / self.largest)} times"
@@ -184,12 +190,12 @@
 
     @property
     def slopes(self) -> tuple[Slope, ...]:
-        """The slope, if there is one."""
+        """The fitted slope, or nothing if there are too few values."""
         return () if self.slope is None else (self.slope,)
 
 
 class CapacityModel:
-    """Reads figures at any size out of the plays of a record."""
+    """Estimates measures at any size from the plays of a record."""
 
     def __init__(self, recorded: Sequence[Play]) -> None:
         plays = [with_counter_cost_per_call(without_unused_restart_measures(play)) for play in recorded]
@@ -205,125 +211,133 @@
         }
 
     def estimate_terms(self, terms: Iterable[Term], target: CapacityTarget) -> Estimate:
-        """The sum of the terms at this size."""
-        readings = [self.estimate_term(term, target) for term in terms]
-        if len(readings) == 1:
-            return readings[0]
+        """The sum of the terms at the target size."""
+        estimates = [self.estimate_term(term, target) for term in terms]
+        if len(estimates) == 1:
+            return estimates[0]
         return Estimate(
-            value=sum(reading.value for reading in readings),
+            value=sum(estimate.value for estimate in estimates),
             origin=Origin.CALCULATED,
-            derivation=" + ".join(reading.derivation for reading in readings),
-            slopes=distinct(slope for reading in readings for slope in reading.slopes),
-            played_ranges=distinct(run for reading in readings for run in reading.played_ranges),
+            derivation=" + ".join(estimate.derivation for estimate in estimates),
+            slopes=distinct(slope for estimate in estimates for slope in estimate.slopes),
+            played_ranges=distinct(played for estimate in estimates for played in estimate.played_ranges),
         )
 
     def estimate_term(self, term: Term, target: CapacityTarget) -> Estimate:
-        """One measure at this size, times the term's other measure and factor."""
-        reading = self.estimate_measure(term, target_axis_values(target) | dict(term.fixed_values))
+        """The term's measure at the target size, times its other measure and its factor."""
+        estimate = self.estimate_measure(term, target_axis_values(target) | dict(term.fixed_values))
         if term.multiplied_by is not None:
             other = self.estimate_term(term.multiplied_by, target)
-            reading = Estimate(
-                value=reading.value * other.value,
+            estimate = Estimate(
+                value=estimate.value * other.value,
                 origin=Origin.CALCULATED,
-                derivation=f"{reading.derivation} x {other.derivation}",
-                slopes=distinct([*reading.slopes, *other.slopes]),
-                played_ranges=distinct([*reading.played_ranges, *other.played_ranges]),
+                derivation=f"{estimate.derivation} x {other.derivation}",
+                slopes=distinct([*estimate.slopes, *other.slopes]),
+                played_ranges=distinct([*estimate.played_ranges, *other.played_ranges]),
             )
         if term.factor is not None:
-            reading = replace(reading, value=reading.value * term.factor.calculate(target), origin=Origin.CALCULATED,
-                              derivation=f"{reading.derivation} x {term.factor.formula}")
-        return reading
+            estimate = replace(estimate, value=estimate.value * term.factor.calculate(target),
+                               origin=Origin.CALCULATED,
+                               derivation=f"{estimate.derivation} x {term.factor.formula}")
+        return estimate
 
-    def estimate_measure(self, term: Term, wanted: AxisValues) -> Estimate:
-        """The measure on the anchor's axis, and what the other axes add."""
+    def estimate_measure(self, term: Term, target_values: AxisValues) -> Estimate:
+        """The estimate on the anchor's axis plus the differences over the other axes."""
         anchor = self.curve(term.axes[0], term.measure)
-        reading = anchor.estimate_at(axis_value(term, anchor, wanted))
-        value, kind, how = reading.value, reading.origin, [reading.derivation]
-        slopes, runs, flat, held = list(reading.slopes), list(reading.played_ranges), list[str](), list[str]()
-        state = played_axis_values(anchor.size_at_largest) | {anchor.axis: wanted[anchor.axis]}
-        for axis in additional_axes(term, wanted):
+        estimate = anchor.estimate_at(axis_value(term, anchor, target_values))
+        value, origin, derivations = estimate.value, estimate.origin, [estimate.derivation]
+        slopes, played_ranges, flat, held = (
+            list(estimate.slopes), list(estimate.played_ranges), list[str](), list[str]())
+        state = played_axis_values(anchor.size_at_largest) | {anchor.axis: target_values[anchor.axis]}
+        for axis in additional_axes(term, target_values):
             curve = self.additional_curve(term, axis)
             if curve is None:
-                held += [] if is_same_value(state[axis], wanted[axis]) else [axis]
+                held += [] if is_same_value(state[axis], target_values[axis]) else [axis]
                 continue
-            base, sought = axis_value(term, curve, state), axis_value(term, curve, wanted)
-            state[axis] = wanted[axis]
-            if is_same_value(base, sought):
+            base, target_value = axis_value(term, curve, state), axis_value(term, curve, target_values)
+            state[axis] = target_values[axis]
+            if is_same_value(base, target_value):
                 continue
             if curve.is_flat:
                 flat.append(axis)
                 continue
-            value += curve.estimate_at(sought).value - curve.estimate_at(base).value
-            kind = Origin.CALCULATED
-            how.append(describe_difference(curve, base, sought))
+            value += curve.estimate_at(target_value).value - curve.estimate_at(base).value
+            origin = Origin.CALCULATED
+            derivations.append(describe_difference(curve, base, target_value))
             slopes.extend(curve.slopes)
-            runs.append(curve.played_range)
-        text = " + ".join(how)
+            played_ranges.append(curve.played_range)
+        text = " + ".join(derivations)
         if flat:
             text += f"; flat over {', '.join(flat)}"
         if held:
             text += f"; {', '.join(held)} as played"
         if term.divide_by_gateways:
-            value, kind, text = value / anchor.size_at_largest.gateways, Origin.CALCULATED, text + "; per played gateway"
+            value, origin, text = (
+                value / anchor.size_at_largest.gateways, Origin.CALCULATED, text + "; per played gateway")
         if value < 0.0:
             raise OutsideModel(f"{term.measure} comes out negative")
-        return Estimate(value, kind, f"{term.measure} ({text})", tuple(slopes), tuple(runs))
+        return Estimate(value, origin, f"{term.measure} ({text})", tuple(slopes), tuple(played_ranges))
 
     def additional_curve(self, term: Term, axis: str) -> Curve | None:
-        """The curve of an axis beside the anchor's.
+        """The curve of an axis other than the anchor's.
 
-        None if the term does not require the axis and there is no line over it; NotMeasured if it does.
+        None if no line was fitted over the axis and the term does not require it; raises NotMeasured if it
+        does.
         """
         if axis in term.axes:
             return self.curve(axis, term.measure)
         return self.curves[axis, term.measure] if self.has_line(axis, term.measure) else None
 
     def has_line(self, axis: str, measure: str) -> bool:
-        """Whether this measure was played over this axis at enough values."""
+        """Whether this measure was played at enough values of this axis for a line."""
         curve = self.curves.get((axis, measure))
         return curve is not None and curve.slope is not None
 
     def curve(self, axis: str, measure: str) -> Curve:
-        """The plays of this axis with this measure."""
+        """The curve of this measure over this axis; raises NotMeasured if there are no plays."""
         if (axis, measure) not in self.curves:
             raise NotMeasured(f"{measure} over {axis}")
         return self.curves[axis, measure]
 
 
-def additional_axes(term: Term, wanted: AxisValues) -> list[str]:
-    """The axes beside the anchor's, the required ones first.
+def additional_axes(term: Term, target_values: AxisValues) -> list[str]:
+    """The axes other than the anchor's, the required ones first.
 
-    What one gateway spends follows the customers that come to it, of which the gateways axis would bring the
-    change once more; so that axis counts there as the anchor only.
+    The cost of one gateway depends on the customers that use it. The customers axis accounts for that
+    already, so the gateways axis would count it twice: for such measures it is used only as the anchor.
     """
     anchor = term.axes[0]
-    left_out = {anchor, "gateways"} if term.divide_by_gateways or term.of_one_gateway else {anchor}
-    return [axis for axis in distinct([*term.axes, *wanted]) if axis not in left_out]
+    excluded = {anchor, "gateways"} if term.divide_by_gateways or term.of_one_gateway else {anchor}
+    return [axis for axis in distinct([*term.axes, *target_values]) if axis not in excluded]
 
 
 def axis_value(term: Term, curve: Curve, size: AxisValues) -> float:
-    """The value on the curve's axis that stands for this size."""
+    """The value on the curve's axis that corresponds to this size.
+
+    For a measure of one gateway it is the number of customers that gives a gateway of the curve's own fleet
+    as many customers as a gateway has at this size.
+    """
     value = size[curve.axis]
     if curve.axis == "customers" and term.of_one_gateway:
         return value * curve.size_at_largest.gateways / size["gateways"]
     return value
 
 
-def describe_difference(curve: Curve, base: float, sought: float) -> str:
-    """What a further axis adds, in words."""
-    text = f"over {curve.axis}, at {format_number(sought)} less at {format_number(base)}"
-    if sought > curve.largest and not is_same_value(sought, curve.largest):
-        text += f" (extended {format_number(sought / curve.largest)} times)"
+def describe_difference(curve: Curve, base: float, target_value: float) -> str:
+    """The difference that another axis adds, in words."""
+    text = f"over {curve.axis}, at {format_number(target_value)} less at {format_number(base)}"
+    if target_value > curve.largest and not is_same_value(target_value, curve.largest):
+        text += f" (extended {format_number(target_value / curve.largest)} times)"
     return text
 
 
 def is_same_value(one: float, other: float) -> bool:
-    """Whether two values of an axis count as one."""
+    """Whether two values of an axis are equal up to the tolerance."""
     return math.isclose(one, other, rel_tol=AXIS_VALUE_TOLERANCE)
 
 
 def target_axis_values(target: CapacityTarget) -> dict[str, float]:
-    """The size as values of the axes; the spread stays as it was played, as the operators name none."""
+    """The target by axis; without spread, for which the operators give no number: it stays as played."""
     return {
         "gateways": target.gateways,
         "backends": target.backends,
@@ -334,7 +348,7 @@
 
 
 def played_axis_values(size: FleetSize) -> dict[str, float]:
-    """The size of a play as values of the axes."""
+    """The size of a play by axis."""
     return {
         "gateways": size.gateways,
         "backends": size.backends,
@@ -347,7 +361,7 @@
 
 
 def without_unused_restart_measures(play: Play) -> Play:
-    """The play without figures of restarts, unless gateways were restarted in it."""
+    """The play without the measures of restarts if no gateway was restarted in it."""
     if play.size.restarted_share > 0.0:
         return play
     return replace(
@@ -358,7 +372,7 @@
 
 
 def with_counter_cost_per_call(play: Play) -> Play:
-    """The play with the counter's processor time for one call, where there were calls."""
+    """The play with the counter's CPU time per call in microseconds, if it served calls."""
     calls, share = play.counts.get("counter_calls_fleet", 0.0), play.times.get("counter_cpu_share")
     if share is None or not calls > 0.0:
         return play
@@ -366,22 +380,22 @@
 
 
 def measure_value(play: Play, measure: str) -> float:
-    """The play's figure for a measure that it has."""
+    """The play's value of this measure; raises KeyError if it has none."""
     return dict(measures_of(play))[measure]
 
 
 def play_order(play: Play) -> tuple[float, int, int]:
-    """The order of the plays of an axis."""
+    """The sort key of the plays of an axis."""
     return play.value, play.number, play.seed
 
 
 def distinct(items: Iterable[Item]) -> tuple[Item, ...]:
-    """Each item once, in the order of its first place."""
+    """The items without repetitions, in the order of their first occurrence."""
     return tuple(dict.fromkeys(items))
 
 
 def format_number(value: float) -> str:
-    """Three significant digits; whole numbers are grouped in thousands."""
+    """The value with three significant digits; integers have a thousands separator."""
     if value == 0.0:
         return "0"
     if abs(value) >= 1e15 or abs(value) < 1e-4:
