--- a/embersill/lab/scale/capacity.py
+++ b/embersill/lab/scale/capacity.py
@@ -1,8 +1,8 @@
-"""The generated tables of the capacity page: made from a recorded run, put between markers, checked.
+"""Generates the tables of docs/CAPACITY.md from a recorded scale run, and checks the page against them.
 
-A table stands in the page between `<!-- table: NAME -->` and `<!-- end -->`. All its figures come from the
-plays of the record by the model of `capacity_model`, or are reckoned from the coming size; a column says
-which. A figure without plays behind it reads "not measured".
+A table is placed in the page between `<!-- table: NAME -->` and `<!-- end -->`. Each figure is estimated from
+the plays of the record by the model of `capacity_model`, or calculated from the target size; a column says
+which. A figure that no play measured is printed as "not measured".
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from embersill.lab.scale.records import BadRecord, Record, Slope, read_record
 
 DONE, DIFFERS, USAGE_ERROR = 0, 1, 2
-SIZE_FRACTIONS = np.concatenate([np.arange(1, 100) / 100, np.arange(10, 101) / 10])  # of the coming size
+SIZE_FRACTIONS = np.concatenate([np.arange(1, 100) / 100, np.arange(10, 101) / 10])  # of the target size
 NOT_EXCEEDED = f"not up to {format_number(float(SIZE_FRACTIONS[-1]))} times the size"
 BEYOND_PLAYED = "beyond what was played"
 NOT_MEASURED_TEXT = "not measured"
@@ -36,19 +36,19 @@
 TABLE_BLOCK = re.compile(r"(<!-- table: (?P<name>\w+) -->\n)(?P<body>.*?)(?=<!-- end -->)", re.DOTALL)
 
 ROLE_HEADER = ("quantity", "at the coming size", "origin", "how", "slope, 95% interval", "run", "budget",
-             "of the budget", "carried by", "passes the budget at")
+               "of the budget", "carried by", "passes the budget at")
 FAILURE_HEADER = ("failure", "how often", "quantity", "cost", "origin", "how", "run", "carried by")
 ORDER_HEADER = ("place", "missing mechanism", "first needed for", "passes the budget at", "of the budget",
-              "origin", "carried today by")
+                "origin", "carried today by")
 
 
 class BadPage(Exception):
-    """A page whose markers do not fit the tables."""
+    """The markers of a page are malformed or do not match the tables."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetCrossing:
-    """The smallest part of the coming size at which a budget is passed, or why there is none."""
+    """The smallest fraction of the target size that exceeds a budget, or why there is none."""
 
     size_fraction: float | None
     text: str
@@ -56,62 +56,64 @@
 
 @dataclass(frozen=True, slots=True)
 class RowResult:
-    """A row's figure at the coming size, held against its budget."""
+    """A row's value at the target size, compared with its budget."""
 
     role: str
     plan: RowPlan
-    estimate: Estimate | None  # None: `kind` and `how` say why
+    estimate: Estimate | None  # None: `origin` and `explanation` say why
     origin: Origin
     explanation: str
     crossing: BudgetCrossing | None  # None: no budget
 
     @property
     def budget_ratio(self) -> float | None:
-        """The figure as a multiple of its budget."""
+        """The value as a multiple of the budget; None without a value or a budget."""
         if self.plan.budget is None or self.estimate is None:
             return None
         return self.estimate.value / self.plan.budget.max_value
 
 
-# figures
+# estimates
 
 
 def estimate_row(plan: RowPlan, model: CapacityModel, target: CapacityTarget) -> Estimate:
-    """The row's figure at one size; NotMeasured, NotExtrapolated or OutsideModel where there is none."""
+    """The row's value at one size; raises NotMeasured, NotExtrapolated or OutsideModel if there is none."""
     if plan.from_size is not None:
-        return Estimate(plan.from_size.calculate(target), Origin.CALCULATED, f"reckoned: {plan.from_size.formula}")
+        return Estimate(
+            plan.from_size.calculate(target), Origin.CALCULATED, f"reckoned: {plan.from_size.formula}")
     if not plan.terms:
         raise NotMeasured("no such measure yet")
     return model.estimate_terms(plan.terms, target)
 
 
 def evaluate_row(role: str, plan: RowPlan, model: CapacityModel) -> RowResult:
-    """The row at the coming size."""
+    """The row's value at the target size and the size at which it exceeds its budget."""
     crossing = find_budget_crossing(plan, model)
     try:
-        reading = estimate_row(plan, model, TARGET_SIZE)
+        estimate = estimate_row(plan, model, TARGET_SIZE)
     except NotMeasured as error:
         return RowResult(role, plan, None, Origin.NOT_MEASURED, str(error), crossing)
     except (NotExtrapolated, OutsideModel) as error:
         return RowResult(role, plan, None, Origin.NOT_EXTRAPOLATED, str(error), crossing)
-    return RowResult(role, plan, reading, reading.origin, reading.derivation, crossing)
+    return RowResult(role, plan, estimate, estimate.origin, estimate.derivation, crossing)
 
 
 def find_budget_crossing(plan: RowPlan, model: CapacityModel) -> BudgetCrossing | None:
-    """Where the budget is first passed when all of the size grows in step."""
+    """The smallest fraction of the target size, all numbers in proportion, that exceeds the budget."""
     if plan.budget is None:
         return None
     has_gaps = False
-    for part in SIZE_FRACTIONS:
+    for fraction in SIZE_FRACTIONS:
         try:
-            value = estimate_row(plan, model, TARGET_SIZE.scaled(float(part))).value
+            value = estimate_row(plan, model, TARGET_SIZE.scaled(float(fraction))).value
         except NotMeasured:
             return BudgetCrossing(None, NOT_MEASURED_TEXT)
         except (NotExtrapolated, OutsideModel):
             has_gaps = True
             continue
         if value > plan.budget.max_value:
-            return BudgetCrossing(float(part), f"{'at most ' if has_gaps else ''}{part:.2f} of the size")
+            return BudgetCrossing(
+                float(fraction), f"{'at most ' if has_gaps else ''}{fraction:.2f} of the size")
     return BudgetCrossing(None, BEYOND_PLAYED if has_gaps else NOT_EXCEEDED)
 
 
@@ -119,7 +121,7 @@
 
 
 def build_tables(record: Record) -> dict[str, str]:
-    """The text of each table, by the name in its marker."""
+    """The Markdown text of each table, by the name in its marker."""
     model = CapacityModel(record.plays)
     results = {plan.name: [evaluate_row(plan.name, row, model) for row in plan.rows] for plan in ROLE_TABLES}
     tables = {name: role_table(rows) for name, rows in results.items()}
@@ -149,7 +151,7 @@
 
 
 def failure_table(failures: Iterable[tuple[FailurePlan, Sequence[RowResult]]]) -> str:
-    """What each failure costs in messages, bytes and seconds."""
+    """The cost of each failure in messages, bytes and seconds."""
     return markdown_table(FAILURE_HEADER, [(
         failure.failure,
         failure.frequency,
@@ -163,17 +165,18 @@
 
 
 def order_table(results: Sequence[RowResult]) -> str:
-    """The missing mechanisms, the one first that is needed at the smallest part of the coming size."""
+    """The missing mechanisms, in the order in which a growing deployment needs them."""
     rows = []
-    for place, result in enumerate(missing_mechanisms(results), start=1):
+    for position, result in enumerate(missing_mechanisms(results), start=1):
         text = NO_BUDGET if result.crossing is None else result.crossing.text
-        rows.append((str(place), result.plan.missing_mechanism, f"{result.role}: {result.plan.quantity}", text,
-                     ratio_text(result), result.origin.value, result.plan.mechanism))
+        rows.append((
+            str(position), result.plan.missing_mechanism, f"{result.role}: {result.plan.quantity}", text,
+            ratio_text(result), result.origin.value, result.plan.mechanism))
     return markdown_table(ORDER_HEADER, rows)
 
 
 def missing_mechanisms(results: Sequence[RowResult]) -> list[RowResult]:
-    """For each missing mechanism the row that needs it first, sorted."""
+    """For each missing mechanism the row that needs it first, sorted by urgency."""
     first: dict[str, RowResult] = {}
     for result in sorted(results, key=urgency_key):
         if result.plan.missing_mechanism:
@@ -182,7 +185,7 @@
 
 
 def urgency_key(result: RowResult) -> tuple[int, float]:
-    """The sort key: passed budgets by part of the size, the others by ratio, then what is unknown."""
+    """The sort key: exceeded budgets by fraction of the size, then others by ratio, then unknown ones."""
     if result.crossing is not None and result.crossing.size_fraction is not None:
         return 0, result.crossing.size_fraction
     if result.budget_ratio is not None:
@@ -191,7 +194,7 @@
 
 
 def record_table(record: Record) -> str:
-    """What the record holds: its date, command and axes."""
+    """The date, command, cores and axes of the record."""
     axes = sorted({play.axis for play in record.plays})
     rows = [("taken", record.taken), ("command", f"`{record.command}`"), ("cores", str(record.cores))]
     for axis in axes:
@@ -201,36 +204,36 @@
     return markdown_table(("what", "of the run"), rows)
 
 
-def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def markdown_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """A Markdown table."""
-    lines = [head, ["---"] * len(head), *rows]
+    lines = [header, ["---"] * len(header), *rows]
     return "".join("| " + " | ".join(cell.replace("|", "\\|") for cell in line) + " |\n" for line in lines)
 
 
 def figure_text(result: RowResult) -> str:
-    """The figure with its unit, or that there is none."""
+    """The value with its unit, or the reason why there is none."""
     if result.estimate is None:
         return result.origin.value
     return f"{format_number(result.estimate.value)} {result.plan.unit}"
 
 
 def slopes_text(result: RowResult) -> str:
-    """The slopes that went into the figure."""
+    """The slopes used for the estimate."""
     slopes = () if result.estimate is None else result.estimate.slopes
     return "; ".join(map(slope_text, slopes)) or EMPTY_CELL
 
 
 def slope_text(slope: Slope) -> str:
-    """A slope with its interval, named by its measure and axis."""
+    """A slope with its confidence interval, measure and axis."""
     bends = ", bends" if slope.bends else ""
     return (f"{slope.measure} over {slope.axis} {format_number(slope.slope)} "
             f"({format_number(slope.low)} to {format_number(slope.high)}{bends})")
 
 
 def runs_text(result: RowResult) -> str:
-    """The runs behind the figure."""
-    runs = () if result.estimate is None else result.estimate.played_ranges
-    return "; ".join(runs) or EMPTY_CELL
+    """The played axis ranges used for the estimate."""
+    played_ranges = () if result.estimate is None else result.estimate.played_ranges
+    return "; ".join(played_ranges) or EMPTY_CELL
 
 
 def budget_text(plan: RowPlan) -> str:
@@ -241,7 +244,7 @@
 
 
 def ratio_text(result: RowResult) -> str:
-    """The figure as a multiple of its budget."""
+    """The value as a multiple of its budget."""
     return EMPTY_CELL if result.budget_ratio is None else format_number(result.budget_ratio)
 
 
@@ -249,52 +252,52 @@
 
 
 def read_page_tables(page: str) -> dict[str, str]:
-    """The tables that stand in a page, by name; BadPage where a marker does not fit."""
-    names = [found["name"] for found in TABLE_BLOCK.finditer(page)]
+    """The tables in a page, by name; raises BadPage if a marker is malformed or a name repeated."""
+    names = [match["name"] for match in TABLE_BLOCK.finditer(page)]
     if len(set(names)) < len(names):
         raise BadPage("two tables have the same name")
     if page.count("<!-- table:") != len(names) or page.count(END_MARKER) != len(names):
-        raise BadPage(f"a marker is torn: each table stands between its own and {END_MARKER}")
-    return {found["name"]: found["body"] for found in TABLE_BLOCK.finditer(page)}
+        raise BadPage(f"malformed marker: each table must be between its own marker and {END_MARKER}")
+    return {match["name"]: match["body"] for match in TABLE_BLOCK.finditer(page)}
 
 
 def replace_tables(page: str, tables: dict[str, str]) -> str:
-    """The page with these tables in place of its own; BadPage unless it has a place for each."""
+    """The page with its tables replaced by these; raises BadPage if the names do not match."""
     check_table_names(read_page_tables(page), tables)
-    return TABLE_BLOCK.sub(lambda found: found[1] + tables[found["name"]], page)
+    return TABLE_BLOCK.sub(lambda match: match[1] + tables[match["name"]], page)
 
 
 def check_table_names(present: Iterable[str], wanted: Iterable[str]) -> None:
-    """BadPage unless the page has a place for each table and no other."""
+    """Raises BadPage unless the page has exactly the wanted tables."""
     present, wanted = set(present), set(wanted)
     if present != wanted:
-        raise BadPage(f"tables without a place: {sorted(wanted - present)}, "
-                      f"places without a table: {sorted(present - wanted)}")
+        raise BadPage(f"tables without a marker in the page: {sorted(wanted - present)}, "
+                      f"markers without a table: {sorted(present - wanted)}")
 
 
 def find_differences(page: str, tables: dict[str, str]) -> list[str]:
-    """The rows of the page that are not as generated, each in one line."""
+    """The rows of the page that differ from the generated tables, described in one line each."""
     present = read_page_tables(page)
     check_table_names(present, tables)
     found = []
     for name, table in tables.items():
         pairs = itertools.zip_longest(present[name].splitlines(), table.splitlines(), fillvalue="nothing")
-        found += [f"table {name}, row {row}: the page has {has!r}, generated is {wanted!r}"
-                  for row, (has, wanted) in enumerate(pairs, start=-1) if has != wanted]
+        found += [f"table {name}, row {row}: the page has {actual!r}, generated is {generated!r}"
+                  for row, (actual, generated) in enumerate(pairs, start=-1) if actual != generated]
     return found
 
 
 def find_nonempty_tables(page: str) -> list[str]:
-    """The tables that hold anything: none may as long as there is no record."""
-    return [f"table {name} holds rows, but there is no record" for name, table in read_page_tables(page).items()
-            if table.strip()]
+    """Describes each table that is not empty, which is an error while there is no record."""
+    return [f"table {name} holds rows, but there is no record"
+            for name, table in read_page_tables(page).items() if table.strip()]
 
 
 # command
 
 
 def add_capacity_arguments(parser: argparse.ArgumentParser) -> argparse.ArgumentParser:
-    """The arguments of the command, for a parser of its own or for a subcommand."""
+    """Adds the arguments of the command to its own parser or to that of a subcommand."""
     parser.add_argument("record", type=pathlib.Path, metavar="RECORD", help="a recorded scale run, JSON")
     parser.add_argument("--page", type=pathlib.Path, required=True, help="the page that holds the tables")
     parser.add_argument("--check", action="store_true",
@@ -303,7 +306,7 @@
 
 
 def run_capacity(options: argparse.Namespace) -> int:
-    """Writes or checks the page; the exit code."""
+    """Writes or checks the page and returns the exit code."""
     try:
         page = options.page.read_text()
         return check_page(options.record, page) if options.check else write_page(options, page)
@@ -313,7 +316,7 @@
 
 
 def check_page(path: pathlib.Path, page: str) -> int:
-    """Tells each row that differs; without a record the tables have to be empty."""
+    """Prints each row that differs; without a record the tables must be empty."""
     if path.exists():
         found = find_differences(page, build_tables(read_record(path)))
     else:
@@ -324,13 +327,13 @@
 
 
 def write_page(options: argparse.Namespace, page: str) -> int:
-    """Replaces the tables of the page."""
+    """Replaces the tables of the page with generated ones."""
     options.page.write_text(replace_tables(page, build_tables(read_record(options.record))))
     return DONE
 
 
 def main_capacity(arguments: Sequence[str] | None = None) -> int:
-    """The command by itself; `arguments` without the program's name."""
+    """Runs the command as a program; `arguments` exclude the program's name."""
     parser = argparse.ArgumentParser(
         prog="python -m embersill.lab.scale.capacity",
         description="Writes the tables of the capacity page from a recorded scale run, or checks them.",
--- a/embersill/lab/scale/capacity_plan.py
+++ b/embersill/lab/scale/capacity_plan.py
@@ -1,4 +1,4 @@
-"""What the capacity page tells of each role and failure: which measures, which budget, which mechanism."""
+"""Definitions of the rows of docs/CAPACITY.md: measures, budget and mechanism for each role and failure."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What may be spent on a quantity, and who says so."""
+    """The largest allowed value of a quantity, and who sets it."""
 
     max_value: float
     source: str
@@ -44,8 +44,8 @@
 class RowPlan:
     """One row of a table.
 
-    Either `terms` of measures, or `given`, a number reckoned from the size alone; with neither, the figure
-    has no measure yet. `missing` is the mechanism that would take over where the budget is passed.
+    The value is the sum of `terms`, or `from_size`, a number calculated from the size alone; without either,
+    no measure exists yet. `missing_mechanism` is the mechanism needed when the budget is exceeded.
     """
 
     quantity: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TablePlan:
-    """One table of the page; `name` stands in its marker."""
+    """One table of the page; `name` identifies it in the page's marker."""
 
     name: str
     rows: tuple[RowPlan, ...]
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailurePlan:
-    """A failure, how often it comes, and the rows that it costs."""
+    """A kind of failure, how often it occurs, and the rows with its costs."""
 
     failure: str
     frequency: str
@@ -80,13 +80,15 @@
 MB_OF_ALL_BACKENDS = Factor("backends / 1,000,000", lambda target: target.backends / coming.BYTES_PER_MB)
 BYTES_TO_MB = Factor("1 / 1,000,000", lambda target: 1 / coming.BYTES_PER_MB)
 MICROSECONDS_TO_CORES = Factor("1 / 1,000,000", lambda target: 1 / MICROSECONDS_PER_SECOND)
-MS_TO_SECONDS = Factor("0.001", lambda target: 0.001)  # of milliseconds
+MS_TO_SECONDS = Factor("0.001", lambda target: 0.001)
 LIST_ENTRIES = Factor("one entry per backend", lambda target: target.backends)
 
 
-def one_gateway_term(measure: str, *over: str, factor: Factor | None = None, times: Term | None = None) -> Term:
-    """What one gateway has, spends or sees."""
-    return Term(measure, over, factor, times, of_one_gateway=True)
+def one_gateway_term(
+    measure: str, *axes: str, factor: Factor | None = None, multiplied_by: Term | None = None
+) -> Term:
+    """A term of a measure of one gateway."""
+    return Term(measure, axes, factor, multiplied_by, of_one_gateway=True)
 
 
 # budgets
@@ -109,24 +111,30 @@
 LOAD_AXES = ("gateways", "customers", "requests")
 COUNTER_CALLS = one_gateway_term("counter_calls_per_gateway", *LOAD_AXES)
 COUNTER_CALLS_FLEET = one_gateway_term("counter_calls_per_gateway", *LOAD_AXES, factor=GATEWAYS)
-COUNTER_BYTES = tuple(one_gateway_term(f"counter_bytes_{way}_per_gateway", *LOAD_AXES) for way in ("out", "in"))
-COUNTER_BYTES_FLEET = tuple(one_gateway_term(f"counter_bytes_{way}_per_gateway", *LOAD_AXES, factor=GATEWAYS)
-                            for way in ("out", "in"))
+COUNTER_BYTES = tuple(one_gateway_term(f"counter_bytes_{direction}_per_gateway", *LOAD_AXES)
+                      for direction in ("out", "in"))
+COUNTER_BYTES_FLEET = tuple(
+    one_gateway_term(f"counter_bytes_{direction}_per_gateway", *LOAD_AXES, factor=GATEWAYS)
+    for direction in ("out", "in"))
 LIST_CALLS = one_gateway_term("list_calls_per_gateway", "gateways", "changes")
 LIST_CALLS_FLEET = one_gateway_term("list_calls_per_gateway", "gateways", "changes", factor=GATEWAYS)
-LIST_BYTES = tuple(one_gateway_term(f"list_bytes_{way}_per_gateway", "gateways", "backends", "changes")
-                   for way in ("out", "in"))
+LIST_BYTES = tuple(one_gateway_term(f"list_bytes_{direction}_per_gateway", "gateways", "backends", "changes")
+                   for direction in ("out", "in"))
 CUSTOMERS_AT_GATEWAY = one_gateway_term("customers_per_gateway", "gateways", "customers")
 
 
-def unmeasured_row(quantity: str, unit: str, missing: str, budget: Budget | None = None) -> RowPlan:
-    """A row of a role that does not exist yet."""
-    return RowPlan(quantity, unit, NO_MECHANISM, budget=budget, missing_mechanism=missing)
+def unmeasured_row(
+    quantity: str, unit: str, missing_mechanism: str, budget: Budget | None = None
+) -> RowPlan:
+    """A row of a mechanism that does not exist yet."""
+    return RowPlan(quantity, unit, NO_MECHANISM, budget=budget, missing_mechanism=missing_mechanism)
 
 
 GATEWAY = TablePlan("gateway", (
-    RowPlan("state: list entries", "entries", FULL_REPLICA, from_size=LIST_ENTRIES, missing_mechanism=SUBSETS),
-    RowPlan("state: customers", "customers", CENTRAL_COUNTER, (CUSTOMERS_AT_GATEWAY,), missing_mechanism=SHARDING),
+    RowPlan("state: list entries", "entries", FULL_REPLICA, from_size=LIST_ENTRIES,
+            missing_mechanism=SUBSETS),
+    RowPlan("state: customers", "customers", CENTRAL_COUNTER, (CUSTOMERS_AT_GATEWAY,),
+            missing_mechanism=SHARDING),
     RowPlan("messages/s", "calls/s", f"{CENTRAL_COUNTER}; {DELTAS}", (COUNTER_CALLS, LIST_CALLS)),
     RowPlan("bytes/s for the list", "bytes/s", f"{FULL_STATE}; {DELTAS}", LIST_BYTES,
             budget=GATEWAY_BYTES, missing_mechanism=SUBSETS),
@@ -150,7 +158,7 @@
             (Term("memory_per_backend_bytes", ("backends",), MB_OF_ALL_BACKENDS),),
             budget=GATEWAY_MEMORY, missing_mechanism=SUBSETS),
     RowPlan("memory of customers", "MB", LOCAL_DECISION,
-            (one_gateway_term("memory_per_customer_bytes", "customers", times=CUSTOMERS_AT_GATEWAY,
+            (one_gateway_term("memory_per_customer_bytes", "customers", multiplied_by=CUSTOMERS_AT_GATEWAY,
                         factor=BYTES_TO_MB),),
             budget=GATEWAY_MEMORY, missing_mechanism=SHARDING),
     RowPlan("time here, median, waits for quota included", "ms", LOCAL_DECISION,
@@ -162,13 +170,14 @@
 
 
 def list_service_table(name: str, role: str, mechanism: str) -> TablePlan:
-    """The table of one role of the list service."""
+    """The table of the leader or the follower of the list service."""
     return TablePlan(name, (
         RowPlan("state: list entries", "entries", mechanism, from_size=LIST_ENTRIES),
         RowPlan("messages/s, all gateways at this one", "calls/s", mechanism,
                 (LIST_CALLS_FLEET,), missing_mechanism=FAN_OUT),
         RowPlan("bytes/s out", "bytes/s", mechanism,
-                (Term(f"list_bytes_out_{role}", ("gateways", "backends", "changes")),), missing_mechanism=FAN_OUT),
+                (Term(f"list_bytes_out_{role}", ("gateways", "backends", "changes")),),
+                missing_mechanism=FAN_OUT),
         RowPlan("CPU", "cores", mechanism,
                 (Term(f"directory_{role}_cpu_share", ("gateways", "backends", "changes")),),
                 budget=ONE_CORE, missing_mechanism=FAN_OUT),
@@ -221,7 +230,7 @@
 
 
 def config_records(target: CapacityTarget) -> float:
-    """What configuration describes: routes, services and customers."""
+    """The number of configuration records: routes, services and customers."""
     return target.routes + target.services + target.customers
 
 
@@ -265,8 +274,8 @@
 ))
 
 TENANTS = TablePlan("tenants", (
-    RowPlan("state", "customers", NO_MECHANISM, from_size=Factor("customers", lambda target: target.customers),
-            missing_mechanism=CONFIG_DELTAS),
+    RowPlan("state", "customers", NO_MECHANISM,
+            from_size=Factor("customers", lambda target: target.customers), missing_mechanism=CONFIG_DELTAS),
     unmeasured_row("messages/s", "calls/s", CONFIG_DELTAS),
     unmeasured_row("bytes/s", "bytes/s", CONFIG_DELTAS),
     unmeasured_row("CPU", "cores", CONFIG_DELTAS),
@@ -301,7 +310,7 @@
 
 
 def change_propagation_rows(formula: str, changes: Factor) -> tuple[RowPlan, ...]:
-    """What it costs to tell all gateways of these changes, one message for each change and gateway."""
+    """The cost of sending these list changes to all gateways, one message per change and gateway."""
     return (
         RowPlan("messages", "changes told", DELTAS, from_size=Factor(
             f"{formula} x gateways", lambda target: changes.calculate(target) * target.gateways)),
@@ -314,29 +323,29 @@
 
 
 def full_list_row(formula: str, gateways: Factor) -> RowPlan:
-    """The bytes of a whole list for each of these gateways."""
+    """The bytes of sending a full list to each of these gateways."""
     return RowPlan("bytes", "bytes", FULL_STATE,
                    (Term("whole_list_bytes", ("backends",), Factor(formula, gateways.calculate)),),
                    missing_mechanism=JITTERED_START)
 
 
 def mass_restart_rows(formula: str, share: float) -> tuple[RowPlan, ...]:
-    """What it costs when this share of the gateways starts again at once."""
+    """The cost of restarting this share of the gateways at the same time."""
     restarted = Factor(formula, lambda target: share * target.gateways)
-    settled = {"restarted": share}
+    fixed_values = {"restarted": share}
     return (
         RowPlan("messages", "calls for the list", FULL_STATE,
-                (Term("restart_list_calls_fleet", ("restarted",), GATEWAYS, fixed_values=settled,
+                (Term("restart_list_calls_fleet", ("restarted",), GATEWAYS, fixed_values=fixed_values,
                       divide_by_gateways=True),),
                 missing_mechanism=JITTERED_START),
         full_list_row(formula, restarted),
         RowPlan("bytes at a gateway, fleet as played", "bytes", FULL_STATE,
-                (Term("restart_bytes_per_gateway", ("restarted",), fixed_values=settled),)),
+                (Term("restart_bytes_per_gateway", ("restarted",), fixed_values=fixed_values),)),
         RowPlan("seconds until all are told", "s", FULL_STATE,
-                (Term("restart_all_told_s", ("restarted", "gateways"), fixed_values=settled),),
+                (Term("restart_all_told_s", ("restarted", "gateways"), fixed_values=fixed_values),),
                 budget=PROPAGATION_SECONDS, missing_mechanism=JITTERED_START),
         RowPlan("seconds until all are told, fleet as played", "s", FULL_STATE,
-                (Term("restart_all_told_s", ("restarted",), fixed_values=settled),),
+                (Term("restart_all_told_s", ("restarted",), fixed_values=fixed_values),),
                 budget=PROPAGATION_SECONDS, missing_mechanism=JITTERED_START),
     )
 
@@ -368,12 +377,15 @@
     )),
     FailurePlan(f"a rack or switch with {coming.RACK_MACHINES} backends", "every week",
                 change_propagation_rows("machines of a rack", RACK_CHANGES)),
-    FailurePlan("a zone: its backends", "once or twice a year", change_propagation_rows("backends of a zone", ZONE_BACKENDS)),
+    FailurePlan("a zone: its backends", "once or twice a year",
+                change_propagation_rows("backends of a zone", ZONE_BACKENDS)),
     FailurePlan("a zone: all its gateways return together", "once or twice a year",
                 mass_restart_rows("gateways of a zone", ZONE_SHARE)),
-    FailurePlan("all gateways return together", "not named by the operators", mass_restart_rows("gateways", 1.0)),
+    FailurePlan("all gateways return together", "not named by the operators",
+                mass_restart_rows("gateways", 1.0)),
     FailurePlan("a region is apart for an hour", "now and then", (
-        RowPlan("messages", "changes missed", FULL_STATE, from_size=MISSED_CHANGES, missing_mechanism=REGION_QUOTA),
+        RowPlan("messages", "changes missed", FULL_STATE, from_size=MISSED_CHANGES,
+                missing_mechanism=REGION_QUOTA),
         full_list_row("gateways of a region, one whole list each", REGION_GATEWAYS),
         unmeasured_row("seconds until all are told", "s", REGION_QUOTA, PROPAGATION_SECONDS),
     )),
