--- a/embersill/lab/scale/aggregation_tables.py
+++ b/embersill/lab/scale/aggregation_tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/aggregation.md that compare plays without and with aggregators, made from their record.
+"""Generates the tables of docs/aggregation.md, which compare recorded plays without and with aggregators.
 
     python -m embersill.lab.scale.aggregation_tables docs/capacity/aggregation.json --page docs/aggregation.md
 """
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """One measure of the plays."""
+    """A table column that shows one measure of the plays, times a factor."""
 
     header: str
     measure: str
@@ -67,66 +67,69 @@
 
 
 def column_values(plays: Iterable[Play], column: Column) -> list[float]:
-    """The measure in each play that has it."""
+    """The column's value in each play that has the measure."""
     both = [play.counts | play.times for play in plays]
     return [column.factor * play[column.measure] for play in both if column.measure in play]
 
 
 def median_cell(plays: Sequence[Play], column: Column) -> str:
-    """The median of the plays, with the least and the most where they differ."""
-    found = column_values(plays, column)
-    if not found:
+    """The median of the plays, with minimum and maximum if they differ."""
+    values = column_values(plays, column)
+    if not values:
         return EMPTY_CELL
-    middle, least, most = (format_number(f(found)) for f in (statistics.median, min, max))
-    return middle if least == most else f"{middle} ({least} to {most})"
+    median, minimum, maximum = (format_number(f(values)) for f in (statistics.median, min, max))
+    return median if minimum == maximum else f"{median} ({minimum} to {maximum})"
 
 
 def fleet_cells(size: FleetSize, plays: Sequence[Play]) -> list[str]:
+    """The cells that describe the fleet and the number of plays."""
     spread = "all" if size.spread == size.gateways else format_number(size.spread)
-    return [format_number(size.gateways), format_number(size.customers), spread, format_number(size.counter_parts),
-            format_number(size.aggregators), format_number(len(plays))]
+    return [format_number(size.gateways), format_number(size.customers), spread,
+            format_number(size.counter_parts), format_number(size.aggregators), format_number(len(plays))]
 
 
 def plays_by_size(record: Record, axes: Sequence[str]) -> dict[FleetSize, list[Play]]:
-    """The plays of these axes by size, smallest first."""
-    found: dict[FleetSize, list[Play]] = {}
+    """The plays of these axes, grouped by size in ascending order."""
+    groups: dict[FleetSize, list[Play]] = {}
     for play in record.plays:
         if play.axis in axes:
-            found.setdefault(play.size, []).append(play)
-    return dict(sorted(found.items(), key=size_order))
+            groups.setdefault(play.size, []).append(play)
+    return dict(sorted(groups.items(), key=size_order))
 
 
 def size_order(entry: tuple[FleetSize, list[Play]]) -> tuple[int, int, int, int]:
+    """The sort key of a size and its plays."""
     size = entry[0]
     return size.gateways, size.customers, size.spread, size.aggregators
 
 
 def size_table(record: Record, axes: Sequence[str], columns: Sequence[Column]) -> str:
-    """One row for each size."""
-    head = [*FLEET_HEADER, *(column.header for column in columns)]
+    """A table with one row for each size."""
+    header = [*FLEET_HEADER, *(column.header for column in columns)]
     rows = [[*fleet_cells(size, plays), *(median_cell(plays, column) for column in columns)]
             for size, plays in plays_by_size(record, axes).items()]
-    return markdown_table(head, rows)
+    return markdown_table(header, rows)
 
 
 def play_table(record: Record, axis: str, columns: Sequence[Column]) -> str:
-    """One row for each play."""
+    """A table with one row for each play of an axis."""
     plays = [play for play in record.plays if play.axis == axis]
     plays.sort(key=lambda play: (play.size.aggregators, play.number))
-    head = [*FLEET_HEADER[:-1], "play", *(column.header for column in columns)]
-    rows = [[*fleet_cells(play.size, [play])[:-1], str(play.number), *(median_cell([play], c) for c in columns)]
-            for play in plays]
-    return markdown_table(head, rows)
+    header = [*FLEET_HEADER[:-1], "play", *(column.header for column in columns)]
+    rows = [[*fleet_cells(play.size, [play])[:-1], str(play.number),
+             *(median_cell([play], column) for column in columns)] for play in plays]
+    return markdown_table(header, rows)
 
 
 def run_table(record: Record) -> str:
-    """When and how the record was taken, with all seeds."""
+    """The date, machine, settings and seeds of the recorded plays."""
     seeds = sorted({play.seed for play in record.plays})
     rates = sorted({(play.size.gateways, play.size.requests_per_second) for play in record.plays})
     seconds = sorted({(play.axis, play.seconds) for play in record.plays})
     rows = [("taken", record.taken), ("cores", str(record.cores)),
             *((f"measured seconds of a play, {axis}", format_number(length)) for axis, length in seconds),
-            *((f"requests/s at a gateway, of {format_number(fleet)}", format_number(rate)) for fleet, rate in rates),
+            *((f"requests/s at a gateway, of {format_number(gateways)}", format_number(rate))
+              for gateways, rate in rates),
             ("calls/s that a part of the counter serves",
              ", ".join(sorted({format_number(p.size.counter_calls_per_second) for p in record.plays}))),
             ("calls/s and burst of a gateway's budget",
@@ -137,7 +140,7 @@
 
 
 def build_tables(record: Record) -> dict[str, str]:
-    """All tables by name."""
+    """The Markdown text of all tables, by the name in their marker."""
     return {
         "run": run_table(record),
         "before_after": size_table(record, (WITHOUT_AGGREGATORS, WITH_AGGREGATORS), COUNT_COLUMNS),
@@ -147,22 +150,25 @@
 
 
 def check_page(path: pathlib.Path, page: str) -> list[str]:
-    """The rows that are not as generated; without a record the tables have to be empty."""
-    return find_differences(page, build_tables(read_record(path))) if path.exists() else find_nonempty_tables(page)
+    """Describes the rows that differ from the generated ones; without a record, tables must be empty."""
+    return (find_differences(page, build_tables(read_record(path))) if path.exists()
+            else find_nonempty_tables(page))
 
 
-def write_or_check(told: argparse.Namespace) -> int:
-    page = told.page.read_text()
-    if not told.check:
-        told.page.write_text(replace_tables(page, build_tables(read_record(told.record))))
+def write_or_check(options: argparse.Namespace) -> int:
+    """Writes the tables of the page, or prints the rows that differ; returns the exit code."""
+    page = options.page.read_text()
+    if not options.check:
+        options.page.write_text(replace_tables(page, build_tables(read_record(options.record))))
         return DONE
-    found = check_page(told.record, page)
-    for line in found:
+    different_rows = check_page(options.record, page)
+    for line in different_rows:
         print(line, file=sys.stderr)
-    return DIFFERS if found else DONE
+    return DIFFERS if different_rows else DONE
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the command; `arguments` exclude the program's name."""
     parser = argparse.ArgumentParser(
         prog="python -m embersill.lab.scale.aggregation_tables",
         description="Writes the tables of the page on aggregation from their record, or checks them.",
@@ -171,9 +177,9 @@
     parser.add_argument("--page", type=pathlib.Path, required=True, help="the page that holds the tables")
     parser.add_argument("--check", action="store_true",
                         help="write nothing; exit with 1 if a row of the page is not as generated")
-    told = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     try:
-        return write_or_check(told)
+        return write_or_check(options)
     except (BadRecord, BadPage, OSError) as error:
         print(error, file=sys.stderr)
         return USAGE_ERROR
--- a/embersill/lab/scale/axes.py
+++ b/embersill/lab/scale/axes.py
@@ -1,4 +1,4 @@
-"""The axes of a scale run: what is varied, at which values, and what stays as it is meanwhile."""
+"""The axes of a scale run: the quantity that is varied, its values, and the base that stays fixed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 BASE = FleetSize(
     gateways=100, backends=500, customers=2000, spread=4, requests_per_second=5.0, changes_per_second=0.5,
     restarted_share=0.0)
-# with fewer gateways, where each of them does so much that a machine has no room for a hundred
+# for axes on which a gateway needs so much that one machine cannot run a hundred of them
 FEW_GATEWAYS_BASE = replace(BASE, gateways=20)
 SMALL_BASE = FleetSize(
     gateways=8, backends=60, customers=160, spread=4, requests_per_second=10.0, changes_per_second=1.0,
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Axis:
-    """One quantity of FleetSize, varied from a base."""
+    """One field of FleetSize that is varied from a base."""
 
     name: str
     field: str
@@ -33,13 +33,14 @@
     values: tuple[float, ...]
 
     def size_at(self, value: float) -> FleetSize:
-        kind = type(getattr(self.base, self.field))
-        return replace(self.base, **{self.field: kind(value)})
+        """The base with this value of the axis, converted to the field's type."""
+        field_type = type(getattr(self.base, self.field))
+        return replace(self.base, **{self.field: field_type(value)})
 
 
 @dataclass(frozen=True, slots=True)
 class RunSettings:
-    """What the command's arguments choose, for all plays alike."""
+    """The settings from the command's arguments that apply to all plays."""
 
     plays: int
     seconds: float
@@ -77,19 +78,20 @@
 
 
 def plan_plays(axes: Sequence[Axis], settings: RunSettings) -> list[PlayPlan]:
-    """All plays, axis by axis; a point's seeds depend on nothing but axis, value and number."""
+    """All plays, axis by axis; a play's seed depends only on its axis, value and number."""
     return [
         make_plan(axis, value, number, settings)
         for axis in axes for value in axis.values for number in range(settings.plays)]
 
 
 def make_plan(axis: Axis, value: float, number: int, settings: RunSettings) -> PlayPlan:
+    """The plan of one play of an axis."""
     size = replace(
         axis.size_at(value), counter_parts=settings.counter_parts,
         counter_calls_per_second=settings.counter_calls_per_second, aggregators=settings.aggregators,
         gateway_calls_per_second=settings.gateway_calls_per_second,
         gateway_calls_burst=settings.gateway_calls_burst)
-    # long enough for one change at the least
+    # long enough for at least one change
     seconds = max(settings.seconds, 1.0 / size.changes_per_second)
     seed = zlib.crc32(f"{axis.name} {value:g} {number}".encode()) % SEED_COUNT
     return PlayPlan(
--- a/embersill/lab/scale/bounds.py
+++ b/embersill/lab/scale/bounds.py
@@ -1,4 +1,4 @@
-"""Judges a play by its counts alone: bounds that follow from the protocol and hold on any machine."""
+"""Upper bounds of a play's counts that follow from the protocol and hold on any machine."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from embersill.lab.scale.resp import LONGEST_LIFE_SECONDS, MOST_NAME_BYTES
 from embersill.net.discovery import MAX_WATCH_MS, MIN_WATCH_SHARE
 
-CALLS_PER_CUSTOMER = 2.0  # counter calls a second for one customer at one gateway: its demand is added once a
-# second, and a second without demand is read once
-CALLS_PER_LOW_RATE_REQUEST = 3.0  # where a gateway's part of a quota holds no request: one to read the level, one
-# to tell what was sent on or given back, one to put the sum right
-WIDE_SPREAD, MIN_REQUESTS_AT_WIDE_SPREAD = 4, 2.0  # spread from which a gateway's part must hold two requests
+# counter calls per second, customer and gateway: demand is reported once a second, and after a second without
+# demand the level is read once
+CALLS_PER_CUSTOMER = 2.0
+# if a gateway's slice of a quota holds less than a request: one call reads the level, one reports the units
+# sent on or returned, one corrects the sum
+CALLS_PER_LOW_RATE_REQUEST = 3.0
+WIDE_SPREAD, MIN_REQUESTS_AT_WIDE_SPREAD = 4, 2.0  # above this spread a slice must hold two requests
 LONGEST_AMOUNT = "-1.23456789e-09"  # nine digits
 LONGEST_TOTAL = b"$13\r\n-1.234567e-09\r\n"  # seven digits
-MAX_BUSY_BYTES = 64  # of a reply that turns a call away, at the most
-MAX_HEAD_BYTES = 400  # of an HTTP answer's head, at the most
+MAX_BUSY_BYTES = 64  # of a reply that refuses a call
+MAX_HEAD_BYTES = 400  # of an HTTP response's head
 MAX_LIST_REQUEST_BYTES = len(
     "GET /v1/endpoints?since=18446744073709551615&timeout_ms=60000 HTTP/1.1\r\nHost: 127.0.0.1:65535\r\n\r\n")
 MAX_GENERATION = 2**64
@@ -30,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenBound:
-    """A count that is larger than the protocol allows."""
+    """A count that exceeds its upper bound."""
 
     axis: str
     value: float
@@ -46,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The most that a measure may be."""
+    """The upper bound of a measure."""
 
     measure: str
     max_value: float
 
 
 def broken_bounds(play: Play) -> list[BrokenBound]:
-    """All bounds that this play's counts break."""
+    """All bounds that this play's counts exceed."""
     return [
         BrokenBound(play.axis, play.value, play.number, bound.measure, found, bound.max_value)
         for bound in protocol_bounds(play)
@@ -61,53 +63,53 @@
 
 
 def protocol_bounds(play: Play) -> Iterator[Bound]:
-    """The bounds at this play's size. One event more a window accounts for the window's edges."""
+    """The bounds at this play's size; they allow one extra event for the edges of the measured time."""
     size, counts, edge = play.size, play.counts, 1.0 / play.seconds
-    calls = CALLS_PER_CUSTOMER * counts["customers_per_gateway"] * (1.0 + edge)
+    max_calls = CALLS_PER_CUSTOMER * counts["customers_per_gateway"] * (1.0 + edge)
     if has_low_rate_plans(size, play.seed):
-        calls += CALLS_PER_LOW_RATE_REQUEST * size.requests_per_second + 4.0 * edge
+        max_calls += CALLS_PER_LOW_RATE_REQUEST * size.requests_per_second + 4.0 * edge
     if size.aggregators:
-        calls = min(calls, size.gateway_calls_per_second + size.gateway_calls_burst * edge)
-    yield Bound("counter_calls_per_gateway", calls)
-    made = counts["counter_calls_per_gateway"] + edge
-    yield Bound("counter_bytes_out_per_gateway", made * max_call_bytes())
-    yield Bound("counter_bytes_in_per_gateway", made * max(len(LONGEST_TOTAL), MAX_BUSY_BYTES))
+        max_calls = min(max_calls, size.gateway_calls_per_second + size.gateway_calls_burst * edge)
+    yield Bound("counter_calls_per_gateway", max_calls)
+    counter_calls = counts["counter_calls_per_gateway"] + edge
+    yield Bound("counter_bytes_out_per_gateway", counter_calls * max_call_bytes())
+    yield Bound("counter_bytes_in_per_gateway", counter_calls * max(len(LONGEST_TOTAL), MAX_BUSY_BYTES))
     yield Bound("list_calls_per_gateway", max_list_calls(play))
-    asked = counts["list_calls_per_gateway"] + edge
-    yield Bound("list_bytes_out_per_gateway", asked * MAX_LIST_REQUEST_BYTES)
+    list_calls = counts["list_calls_per_gateway"] + edge
+    yield Bound("list_bytes_out_per_gateway", list_calls * MAX_LIST_REQUEST_BYTES)
     yield Bound("whole_lists_per_start", 1.0)
     yield Bound("whole_list_bytes", max_list_bytes(size.backends))
-    most_changed = min(size.backends, size.changes_per_second * play.seconds + 1.0)
-    yield Bound("change_bytes", max_list_bytes(int(most_changed) + 1))
+    max_changed = min(size.backends, size.changes_per_second * play.seconds + 1.0)
+    yield Bound("change_bytes", max_list_bytes(int(max_changed) + 1))
     if "restart_list_calls_fleet" in counts:
         yield Bound("restart_bytes_per_gateway", max_list_bytes(size.backends) + MAX_HEAD_BYTES)
 
 
 def max_list_calls(play: Play) -> float:
-    """Each change ends a watch, and so does the shortest wait; a restart makes one more call."""
+    """List calls per second: one per change, per shortest wait of a watch and per restart."""
     size, edge = play.size, 1.0 / play.seconds
-    shortest = MIN_WATCH_SHARE * MAX_WATCH_MS / 1000.0
+    shortest_wait = MIN_WATCH_SHARE * MAX_WATCH_MS / 1000.0
     restarts = 2.0 * edge if size.restarted_share > 0 else 0.0
-    return size.changes_per_second + 1.0 / shortest + edge + restarts
+    return size.changes_per_second + 1.0 / shortest_wait + edge + restarts
 
 
 def has_low_rate_plans(size: FleetSize, seed: int) -> bool:
-    """Whether a gateway's part of some quota holds no request."""
-    least = size.spread * (MIN_REQUESTS_AT_WIDE_SPREAD if size.spread > WIDE_SPREAD else 1.0)
-    return any(plan.burst < least for plan in Deployment(size, seed).plans)
+    """Whether a gateway's slice of some quota holds less than a request."""
+    min_burst = size.spread * (MIN_REQUESTS_AT_WIDE_SPREAD if size.spread > WIDE_SPREAD else 1.0)
+    return any(plan.burst < min_burst for plan in Deployment(size, seed).plans)
 
 
 def max_call_bytes() -> int:
-    """Bytes of the longest call of the counter in its published form."""
+    """Bytes of the longest counter call in the published protocol."""
     life_ms = str(round(1000.0 * LONGEST_LIFE_SECONDS))
-    words = ("CNT.ADD", "n" * MOST_NAME_BYTES, LONGEST_AMOUNT, life_ms)
-    return len(hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub takes one word only
+    arguments = ("CNT.ADD", "n" * MOST_NAME_BYTES, LONGEST_AMOUNT, life_ms)
+    return len(hiredis.pack_command(arguments))  # type: ignore[arg-type]  # its stub accepts a single string only
 
 
 def max_list_bytes(entries: int) -> float:
-    """Bytes of an answer of the list service with so many entries, in the published form."""
+    """Bytes of a list service response with this number of entries, in the published protocol."""
     entry = {
         "instanceId": backend_name(0), "hostPort": "127.0.0.1:65535", "zone": "a", "machineType": MACHINE,
         "cell": 0, "lifecycle": "DRAINING", "weight": 1.0, "startedAtMs": STARTED_MS}
-    whole = {"generation": MAX_GENERATION, "reset": False, "instances": []}
-    return len(json.dumps(whole)) + entries * (len(json.dumps(entry)) + 2)
+    full_list = {"generation": MAX_GENERATION, "reset": False, "instances": []}
+    return len(json.dumps(full_list)) + entries * (len(json.dumps(entry)) + 2)
--- a/embersill/lab/scale/plots.py
+++ b/embersill/lab/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a scale run: a page for each axis, a panel for each measure, panels in groups by unit."""
+"""Plots of a scale run: an image for each axis, a panel for each measure, panels grouped by unit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 HEADROOM = 1.1  # of the largest figure
 LINE_COLOUR, BENT_COLOUR, POINT_COLOUR = "tab:blue", "tab:red", "0.25"
 OTHER_GROUP = "Other"
-GROUPS = (  # title, and the parts of a measure's name of which one puts it there; the first match counts
+GROUPS = (  # title, and substrings of measure names; the first group with a match is used
     ("Memory", ("memory",)),
     ("Processor time", ("cpu", "us_per_request")),
     ("Shares", ("share",)),
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Panel:
-    """What is drawn for one measure."""
+    """The data of one measure's panel."""
 
     measure: str
     points: Sequence[tuple[float, float]]
@@ -41,7 +41,7 @@
 
 
 def write_plots(record: Record, folder: pathlib.Path) -> list[pathlib.Path]:
-    """Writes one PNG for each axis that was played, and returns their paths."""
+    """Writes one PNG for each played axis, and returns their paths."""
     folder.mkdir(parents=True, exist_ok=True)
     slopes = {(slope.axis, slope.measure): slope for slope in fit_slopes(record.plays)}
     panels: dict[str, list[Panel]] = {}
@@ -53,21 +53,21 @@
 
 
 def write_axis(axis: str, panels: Sequence[Panel], path: pathlib.Path) -> pathlib.Path:
-    """One page: a row of panels, or more, for each group of measures."""
+    """Writes one image with one or more rows of panels for each group of measures."""
     groups = group_panels(panels)
     heights = [math.ceil(len(members) / COLUMNS) for members in groups.values()]
     figure = Figure(figsize=(COLUMNS * PANEL_WIDTH, sum(heights) * PANEL_HEIGHT + 0.4 * len(groups)),
                     layout="constrained", dpi=DOTS_PER_INCH)
     FigureCanvasAgg(figure)
-    parts = figure.subfigures(len(groups), 1, height_ratios=heights, squeeze=False)
-    for part, rows, (title, members) in zip(parts[:, 0], heights, groups.items(), strict=True):
-        draw_group(part, rows, title, axis, members)
+    subfigures = figure.subfigures(len(groups), 1, height_ratios=heights, squeeze=False)
+    for subfigure, rows, (title, members) in zip(subfigures[:, 0], heights, groups.items(), strict=True):
+        draw_group(subfigure, rows, title, axis, members)
     figure.savefig(path, metadata={"Software": None})
     return path
 
 
 def group_panels(panels: Sequence[Panel]) -> dict[str, list[Panel]]:
-    """Panels by the title of their group, in the order of the groups; no group is empty."""
+    """The panels by the title of their group, in the order of GROUPS, without empty groups."""
     titles = [*(title for title, _ in GROUPS), OTHER_GROUP]
     groups: dict[str, list[Panel]] = {title: [] for title in titles}
     for panel in panels:
@@ -76,51 +76,51 @@
 
 
 def group_title(measure: str) -> str:
-    """The title of the group that a measure's name puts it into."""
-    for title, parts in GROUPS:
-        if any(part in measure for part in parts):
+    """The title of the group that a measure belongs to, by its name."""
+    for title, substrings in GROUPS:
+        if any(substring in measure for substring in substrings):
             return title
     return OTHER_GROUP
 
 
-def draw_group(part: SubFigure, rows: int, title: str, axis: str, members: Sequence[Panel]) -> None:
-    """The panels of one group; unused places in the last row stay empty."""
-    part.suptitle(title, fontweight="bold", x=0.01, ha="left")
-    places = part.subplots(rows, COLUMNS, squeeze=False).flat
-    for place, panel in zip(places, members, strict=False):
-        draw_panel(place, axis, panel)
-    for place in part.axes[len(members):]:
-        place.set_visible(False)
+def draw_group(subfigure: SubFigure, rows: int, title: str, axis: str, members: Sequence[Panel]) -> None:
+    """Draws the panels of one group; unused subplots of the last row stay empty."""
+    subfigure.suptitle(title, fontweight="bold", x=0.01, ha="left")
+    subplots = subfigure.subplots(rows, COLUMNS, squeeze=False).flat
+    for subplot, panel in zip(subplots, members, strict=False):
+        draw_panel(subplot, axis, panel)
+    for subplot in subfigure.axes[len(members):]:
+        subplot.set_visible(False)
 
 
-def draw_panel(place: Axes, axis: str, panel: Panel) -> None:
-    """Plays as dots, the spread at each value as a bar from least to most, the fitted line."""
+def draw_panel(subplot: Axes, axis: str, panel: Panel) -> None:
+    """Draws plays as dots, a bar from minimum to maximum at each value, and the fitted line."""
     by_value: dict[float, list[float]] = {}
     for value, figure in panel.points:
         by_value.setdefault(value, []).append(figure)
     values = sorted(by_value)
     means = [float(np.mean(by_value[value])) for value in values]
-    # a mean may round to beyond all of its equal figures
+    # the rounded mean of equal figures may lie outside of them
     below = [max(0.0, mean - min(by_value[value])) for value, mean in zip(values, means, strict=True)]
     above = [max(0.0, max(by_value[value]) - mean) for value, mean in zip(values, means, strict=True)]
-    place.errorbar(values, means, yerr=[below, above], fmt="none", ecolor=POINT_COLOUR, capsize=3)
-    place.plot(*zip(*panel.points, strict=True), "o", color=POINT_COLOUR, markersize=3, alpha=0.6)
+    subplot.errorbar(values, means, yerr=[below, above], fmt="none", ecolor=POINT_COLOUR, capsize=3)
+    subplot.plot(*zip(*panel.points, strict=True), "o", color=POINT_COLOUR, markersize=3, alpha=0.6)
     title = panel.measure
     if panel.slope is not None:
-        draw_line(place, panel.slope, values[0])
+        draw_line(subplot, panel.slope, values[0])
         title += " (bends)" if panel.slope.bends else ""
     bent = panel.slope is not None and panel.slope.bends
-    place.set_title(title, fontsize=9, color=BENT_COLOUR if bent else "black")
-    place.set_xlabel(axis, fontsize=8)
-    place.tick_params(labelsize=8)
+    subplot.set_title(title, fontsize=9, color=BENT_COLOUR if bent else "black")
+    subplot.set_xlabel(axis, fontsize=8)
+    subplot.tick_params(labelsize=8)
     figures = [figure for _, figure in panel.points]
-    place.set_ylim(min(0.0, HEADROOM * min(figures)), max(HEADROOM * max(figures), 0.0) or 1.0)
-    place.grid(alpha=0.3)
+    subplot.set_ylim(min(0.0, HEADROOM * min(figures)), max(HEADROOM * max(figures), 0.0) or 1.0)
+    subplot.grid(alpha=0.3)
 
 
-def draw_line(place: Axes, slope: Slope, smallest: float) -> None:
-    """The line over what was played; dashed and red where the plays bend away from it."""
+def draw_line(subplot: Axes, slope: Slope, smallest: float) -> None:
+    """Draws the line over the played range; dashed and red if the plays are not linear."""
     ends = [smallest, slope.largest]
-    place.plot(ends, [slope.intercept + slope.slope * value for value in ends],
-               color=BENT_COLOUR if slope.bends else LINE_COLOUR,
-               linestyle="--" if slope.bends else "-", linewidth=1.3)
+    subplot.plot(ends, [slope.intercept + slope.slope * value for value in ends],
+                 color=BENT_COLOUR if slope.bends else LINE_COLOUR,
+                 linestyle="--" if slope.bends else "-", linewidth=1.3)
