--- a/tests/test_scale_aggregation_page.py
+++ b/tests/test_scale_aggregation_page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/aggregation.md: they are their record, and the check tells a row that differs."""
+"""The tables of docs/aggregation.md match their record, and the check reports each row that differs."""
 
 from __future__ import annotations
 
@@ -20,40 +20,40 @@
 PAGE, RECORD = ROOT / "docs" / "aggregation.md", ROOT / "docs" / "capacity" / "aggregation.json"
 
 
-def test_the_page_is_the_record() -> None:
+def test_page_tables_match_the_record() -> None:
     assert check_page(RECORD, PAGE.read_text()) == []
 
 
-def test_the_page_has_a_place_for_each_table() -> None:
+def test_page_has_a_marker_for_each_table() -> None:
     assert set(read_page_tables(PAGE.read_text())) == set(build_tables(Record(FORMAT_VERSION, "", "", 1, ())))
 
 
-def test_recorded_counts_keep_to_the_protocols_bounds() -> None:
+def test_recorded_counts_stay_within_the_protocol_bounds() -> None:
     plays = read_record(RECORD).plays
     assert plays
     assert [str(broken) for play in plays for broken in broken_bounds(play)] == []
 
 
-def drawn_plays() -> list[Play]:
-    """A play of each plan, with figures that differ from play to play."""
+def synthetic_plays() -> list[Play]:
+    """A synthetic play of each plan; the measures differ between plays."""
     return [
         Play(plan.axis, plan.value, plan.number, plan.seed, plan.size, plan.seconds,
-             {"counter_calls_fleet": 10.0 * place}, {"machine_load": 1.0 + place})
-        for place, plan in enumerate([*plan_all(FLEETS), *plan_failover()])]
+             {"counter_calls_fleet": 10.0 * index}, {"machine_load": 1.0 + index})
+        for index, plan in enumerate([*plan_all(FLEETS), *plan_failover()])]
 
 
 @pytest.fixture
 def site(tmp_path: pathlib.Path) -> tuple[pathlib.Path, pathlib.Path]:
-    """A drawn record, and a page that was written from it."""
+    """The paths of a synthetic record and of a page generated from it."""
     record, page = tmp_path / "record.json", tmp_path / "page.md"
-    write_record(record, Record(FORMAT_VERSION, "2026-12-02", "drawn", 1, tuple(drawn_plays())))
+    write_record(record, Record(FORMAT_VERSION, "2026-12-02", "drawn", 1, tuple(synthetic_plays())))
     page.write_text("".join(f"<!-- table: {name} -->\n<!-- end -->\n" for name in build_tables(
         Record(FORMAT_VERSION, "", "", 1, ()))))
     assert main([str(record), "--page", str(page)]) == 0
     return record, page
 
 
-def test_a_changed_digit_is_told(
+def test_changed_digit_is_reported(
     site: tuple[pathlib.Path, pathlib.Path], capsys: pytest.CaptureFixture[str]
 ) -> None:
     record, page = site
@@ -63,24 +63,24 @@
     assert "301" in capsys.readouterr().err
 
 
-def test_tables_without_a_record_are_told(site: tuple[pathlib.Path, pathlib.Path]) -> None:
+def test_tables_without_a_record_are_an_error(site: tuple[pathlib.Path, pathlib.Path]) -> None:
     record, page = site
     record.unlink()
     assert main([str(record), "--page", str(page), "--check"]) == 1
 
 
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_plays_without_and_with_aggregators_are_drawn_alike(fleet: str) -> None:
+def test_plays_without_and_with_aggregators_share_seed_and_size(fleet: str) -> None:
     plans = plan_comparison(fleet)
     for number in range(PLAYS_PER_SIZE):
-        together = [plan for plan in plans if plan.number == number]
-        assert {plan.axis for plan in together} == {WITHOUT_AGGREGATORS, WITH_AGGREGATORS}
-        assert len({plan.seed for plan in together}) == 1
-        assert len({replace(plan.size, aggregators=0) for plan in together}) == 1
+        same_number = [plan for plan in plans if plan.number == number]
+        assert {plan.axis for plan in same_number} == {WITHOUT_AGGREGATORS, WITH_AGGREGATORS}
+        assert len({plan.seed for plan in same_number}) == 1
+        assert len({replace(plan.size, aggregators=0) for plan in same_number}) == 1
     assert len({plan.seed for plan in plans}) == PLAYS_PER_SIZE
 
 
-def test_a_failover_kills_one_of_its_aggregators_early() -> None:
+def test_failover_kills_some_but_not_all_aggregators() -> None:
     for plan in plan_failover():
         assert plan.axis == FAILOVER
         assert 0 < plan.size.aggregators_killed < plan.size.aggregators
--- a/tests/test_scale_capacity.py
+++ b/tests/test_scale_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its tables are those of the recorded run, to the digit."""
+"""The tables of docs/CAPACITY.md equal those generated from the recorded run, to the digit."""
 
 from __future__ import annotations
 
@@ -44,34 +44,35 @@
 Measure = Callable[[FleetSize], float]
 
 
-def met(size: FleetSize) -> float:
-    """The customers that come to one gateway."""
+def customers_at(size: FleetSize) -> float:
+    """The customers that use one gateway."""
     return size.customers * size.spread / size.gateways
 
 
 COUNTS: dict[str, Measure] = {
-    "counter_calls_per_gateway": lambda size: 0.2 * size.requests_per_second + 0.01 * met(size),
-    "counter_bytes_out_per_gateway": lambda size: 12.0 * size.requests_per_second + 0.5 * met(size),
-    "counter_bytes_in_per_gateway": lambda size: 3.0 * size.requests_per_second + 0.1 * met(size),
-    "counter_calls_fleet": lambda size: size.gateways * (0.2 * size.requests_per_second + 0.01 * met(size)),
+    "counter_calls_per_gateway": lambda size: 0.2 * size.requests_per_second + 0.01 * customers_at(size),
+    "counter_bytes_out_per_gateway": lambda size: 12.0 * size.requests_per_second + 0.5 * customers_at(size),
+    "counter_bytes_in_per_gateway": lambda size: 3.0 * size.requests_per_second + 0.1 * customers_at(size),
+    "counter_calls_fleet": lambda size: size.gateways * (
+        0.2 * size.requests_per_second + 0.01 * customers_at(size)),
     "list_calls_per_gateway": lambda size: 0.1 + size.changes_per_second,
     "list_bytes_out_per_gateway": lambda size: 150.0 * size.changes_per_second,
     "list_bytes_in_per_gateway": lambda size: 300.0 * size.changes_per_second + 0.1 * size.backends,
     "list_bytes_out_leader": lambda size: 300.0 * size.gateways,
     "whole_list_bytes": lambda size: 20.0 + 80.0 * size.backends,
     "change_bytes": lambda size: 300.0,
-    "customers_per_gateway": met,
+    "customers_per_gateway": customers_at,
     "restart_list_calls_fleet": lambda size: 2.0 * size.restarted_share * size.gateways,
 }
 TIMES: dict[str, Measure] = {
     "control_cpu_share": lambda size: 0.001 + 0.0001 * size.gateways + 0.00001 * size.backends
-    + 0.00001 * met(size) + 0.0001 * size.requests_per_second,
-    "module_us_per_request": lambda size: 40.0 + 0.01 * size.backends + 0.001 * met(size),
+    + 0.00001 * customers_at(size) + 0.0001 * size.requests_per_second,
+    "module_us_per_request": lambda size: 40.0 + 0.01 * size.backends + 0.001 * customers_at(size),
     "whole_list_ms": lambda size: 0.01 * size.backends + 1e-5 * size.backends ** 2,
-    "gateway_memory_mb": lambda size: 30.0 + 0.001 * size.backends + 0.001 * met(size),
+    "gateway_memory_mb": lambda size: 30.0 + 0.001 * size.backends + 0.001 * customers_at(size),
     "memory_per_customer_bytes": lambda size: 2_000.0,
     "counter_cpu_share": lambda size: 20e-6 * size.gateways * (
-        0.2 * size.requests_per_second + 0.01 * met(size)),
+        0.2 * size.requests_per_second + 0.01 * customers_at(size)),
     "directory_leader_cpu_share": lambda size: 0.01 + 0.0002 * size.gateways + 0.1 * size.changes_per_second
     + 0.0001 * size.backends,
     "news_longest_ms": lambda size: 30.0 + 0.1 * size.gateways,
@@ -80,53 +81,53 @@
 }
 
 
-def made_size(axis: str, value: float) -> FleetSize:
+def synthetic_size(axis: str, value: float) -> FleetSize:
     """The base size, with one axis at another value."""
-    kind = type(getattr(BASE, FIELDS[axis]))
-    return dataclasses.replace(BASE, **{FIELDS[axis]: kind(value)})
+    field_type = type(getattr(BASE, FIELDS[axis]))
+    return dataclasses.replace(BASE, **{FIELDS[axis]: field_type(value)})
 
 
-def noise(seed: int) -> float:
-    """A small relative deviation that is the same for the same seed and sums to nought over three plays."""
+def relative_deviation(seed: int) -> float:
+    """A small relative deviation, equal for equal seeds; the sum over three plays is zero."""
     return 0.001 * (seed % 3 - 1)
 
 
-def made_play(axis: str, value: float, play: int) -> Play:
-    """A play with figures by formula; counts exact, times with a small spread."""
-    size = made_size(axis, value)
+def synthetic_play(axis: str, value: float, play: int) -> Play:
+    """A play whose counts follow the formulas exactly and whose times deviate slightly."""
+    size = synthetic_size(axis, value)
     counts = {name: measure(size) for name, measure in COUNTS.items()}
-    times = {name: measure(size) * (1.0 + noise(play)) for name, measure in TIMES.items()}
+    times = {name: measure(size) * (1.0 + relative_deviation(play)) for name, measure in TIMES.items()}
     return Play(axis, float(value), play, play, size, 10.0, counts, times)
 
 
-def made_record(axes: Iterable[str] = tuple(VALUES)) -> Record:
-    """Three plays at each point of these axes."""
-    plays = tuple(made_play(axis, value, play)
+def synthetic_record(axes: Iterable[str] = tuple(VALUES)) -> Record:
+    """A record of three plays at each value of these axes."""
+    plays = tuple(synthetic_play(axis, value, play)
                   for axis in axes for value in VALUES[axis] for play in range(3))
     return Record(FORMAT_VERSION, "2026-01-02", "a command | of the test", 8, plays)
 
 
 def rows_of(table: str) -> list[list[str]]:
-    """The cells of each row of a table, without its head."""
+    """The cells of each row of a table, without its header."""
     lines = table.splitlines()[2:]
     return [[cell.strip() for cell in re.split(r"(?<!\\)\|", line)[1:-1]] for line in lines]
 
 
 @pytest.fixture(scope="module")
 def tables() -> dict[str, str]:
-    return build_tables(made_record())
+    return build_tables(synthetic_record())
 
 
 @pytest.fixture(scope="module")
 def model() -> CapacityModel:
-    return CapacityModel(made_record().plays)
+    return CapacityModel(synthetic_record().plays)
 
 
 @pytest.fixture
 def site(tmp_path: pathlib.Path) -> tuple[pathlib.Path, pathlib.Path]:
-    """A made record and the project's page, written from it."""
+    """The paths of a synthetic record and of the project's page, generated from it."""
     record, page = tmp_path / "record.json", tmp_path / "page.md"
-    write_record(record, made_record())
+    write_record(record, synthetic_record())
     page.write_text(PAGE.read_text())
     assert main_capacity([str(record), "--page", str(page)]) == DONE
     return record, page
@@ -139,7 +140,7 @@
 # the page of the project
 
 
-def test_the_page_is_the_record_or_holds_no_figure() -> None:
+def test_page_matches_the_record_or_has_empty_tables() -> None:
     page = PAGE.read_text()
     if RECORD.exists():
         assert find_differences(page, build_tables(read_record(RECORD))) == []
@@ -148,29 +149,29 @@
     assert check(RECORD, PAGE) == DONE
 
 
-def test_the_page_has_a_place_for_each_table(tables: dict[str, str]) -> None:
+def test_page_has_a_marker_for_each_table(tables: dict[str, str]) -> None:
     assert set(read_page_tables(PAGE.read_text())) == set(tables)
 
 
-def letter_figures() -> set[str]:
-    """The figures that the prose may quote: the operators', and those of the method."""
+def operator_figures() -> set[str]:
+    """The numbers that the prose may contain: those of the operators and of the method."""
     named = [getattr(TARGET_SIZE, field.name) for field in dataclasses.fields(TARGET_SIZE)]
     named += [coming_size.CONFIG_PROPAGATION_SECONDS, coming_size.ADDED_P99_MS, coming_size.GATEWAY_MEMORY_MB,
               100 * coming_size.GATEWAY_CPU_SHARE, coming_size.GATEWAY_BYTES_PER_SECOND / 1_000,
-              coming_size.CONTROL_MACHINES, coming_size.MIN_COUNTER_PART_CALLS, coming_size.MAX_COUNTER_PART_CALLS,
-              coming_size.MAX_COUNTER_PARTS, 1, 99, 100, 100 * CONFIDENCE]
+              coming_size.CONTROL_MACHINES, coming_size.MIN_COUNTER_PART_CALLS,
+              coming_size.MAX_COUNTER_PART_CALLS, coming_size.MAX_COUNTER_PARTS, 1, 99, 100, 100 * CONFIDENCE]
     return {format_number(value) for value in named}
 
 
-def test_prose_quotes_no_figure_but_the_operators() -> None:
+def test_prose_contains_only_operator_figures() -> None:
     prose = replace_tables(PAGE.read_text(), dict.fromkeys(read_page_tables(PAGE.read_text()), ""))
-    assert set(re.findall(r"\d[\d,.]*\d|\d", prose)) <= letter_figures()
+    assert set(re.findall(r"\d[\d,.]*\d|\d", prose)) <= operator_figures()
 
 
 # the check
 
 
-def test_a_written_page_passes_and_is_not_written_again(site: tuple[pathlib.Path, pathlib.Path]) -> None:
+def test_generated_page_passes_and_stays_the_same(site: tuple[pathlib.Path, pathlib.Path]) -> None:
     record, page = site
     before = page.read_text()
     assert check(record, page) == DONE
@@ -179,7 +180,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(read_page_tables(PAGE.read_text())))
-def test_any_changed_digit_is_told_with_its_row(name: str, tables: dict[str, str]) -> None:
+def test_any_changed_digit_is_reported_with_its_row(name: str, tables: dict[str, str]) -> None:
     good = replace_tables(PAGE.read_text(), tables)
     body = tables[name]
     digits = [found.start() for found in re.finditer(r"\d", body)]
@@ -190,22 +191,22 @@
         assert line.startswith(f"table {name}, row {body[:at].count(chr(10)) - 1}: ")
 
 
-def test_the_command_names_the_row_that_differs(
+def test_command_reports_the_row_that_differs(
     site: tuple[pathlib.Path, pathlib.Path], capsys: pytest.CaptureFixture[str]
 ) -> None:
     record, page = site
     good = page.read_text()
     page.write_text(good.replace("| 128 MB (operators) |", "| 129 MB (operators) |", 1))
     assert page.read_text() != good and check(record, page) == DIFFERS
-    told = capsys.readouterr().err
-    assert told.count("\n") == 1
-    assert re.match(r"table gateway, row \d+: .*memory of the process.*129 MB", told)
+    errors = capsys.readouterr().err
+    assert errors.count("\n") == 1
+    assert re.match(r"table gateway, row \d+: .*memory of the process.*129 MB", errors)
 
 
 @pytest.mark.parametrize("change", [
     lambda body: "\n".join(body.split("\n")[:-2]) + "\n", lambda body: body + "| 1 |\n", lambda body: "",
 ])
-def test_rows_that_lack_or_are_too_many_are_told(
+def test_missing_or_extra_rows_are_reported(
     change: Callable[[str], str], site: tuple[pathlib.Path, pathlib.Path]
 ) -> None:
     record, page = site
@@ -214,7 +215,7 @@
     assert check(record, page) == DIFFERS
 
 
-def test_tables_without_a_record_are_told(
+def test_tables_without_a_record_are_an_error(
     site: tuple[pathlib.Path, pathlib.Path], capsys: pytest.CaptureFixture[str]
 ) -> None:
     record, page = site
@@ -224,45 +225,45 @@
     assert main_capacity([str(record), "--page", str(page)]) == USAGE_ERROR
 
 
-@pytest.mark.parametrize("spoil", [
+@pytest.mark.parametrize("damage", [
     lambda page: page.replace("<!-- table: order -->", ""),
     lambda page: page.replace("<!-- table: order -->", "<!-- table: other -->"),
     lambda page: page.replace("<!-- table: order -->", "<!-- table: gateway -->"),
     lambda page: page[::-1].replace(capacity.END_MARKER[::-1], "", 1)[::-1],
 ])
-def test_a_page_with_torn_markers_is_bad_use(
-    spoil: Callable[[str], str], site: tuple[pathlib.Path, pathlib.Path]
+def test_page_with_malformed_markers_is_a_usage_error(
+    damage: Callable[[str], str], site: tuple[pathlib.Path, pathlib.Path]
 ) -> None:
     record, page = site
-    page.write_text(spoil(page.read_text()))
+    page.write_text(damage(page.read_text()))
     with pytest.raises(BadPage):
-        find_differences(page.read_text(), build_tables(made_record()))
+        find_differences(page.read_text(), build_tables(synthetic_record()))
     assert check(record, page) == USAGE_ERROR
     assert main_capacity([str(record), "--page", str(page)]) == USAGE_ERROR
 
 
-def test_the_command_works_by_itself(site: tuple[pathlib.Path, pathlib.Path]) -> None:
+def test_command_works_as_a_program(site: tuple[pathlib.Path, pathlib.Path]) -> None:
     record, page = site
     command = [sys.executable, "-m", "embersill.lab.scale.capacity", str(record), "--page", str(page),
                "--check"]
     assert subprocess.run(command, cwd=ROOT, timeout=60).returncode == DONE
     record.write_text("{}")
-    ended = subprocess.run(command, cwd=ROOT, timeout=60, capture_output=True, text=True)
-    assert ended.returncode == USAGE_ERROR and ended.stderr.startswith("record.json: ")
+    completed = subprocess.run(command, cwd=ROOT, timeout=60, capture_output=True, text=True)
+    assert completed.returncode == USAGE_ERROR and completed.stderr.startswith("record.json: ")
 
 
 # rows
 
 
-def test_every_figure_has_its_origin(tables: dict[str, str]) -> None:
-    kinds = {kind.value for kind in Origin}
+def test_every_figure_states_its_origin(tables: dict[str, str]) -> None:
+    origins = {known.value for known in Origin}
     for name in set(tables) - {"record", "order", "failures"}:
         for quantity, figure, origin, how, slopes, run, *_ in rows_of(tables[name]):
-            assert quantity and origin in kinds and how
+            assert quantity and origin in origins and how
             assert bool(re.match(r"[\d.-]", figure)) == (origin not in {"not measured", "not extended"})
             assert (run != "-") == (origin in {"measured", "line"} or "over" in slopes)
     for _, _, _, cost, origin, how, run, _ in rows_of(tables["failures"]):
-        assert origin in kinds and how
+        assert origin in origins and how
         assert bool(re.match(r"[\d.-]", cost)) == (origin not in {"not measured", "not extended"})
         assert run != "-" or origin in {"reckoned", "not measured", "not extended"}
 
@@ -276,8 +277,8 @@
         assert row[4] == "-" and not re.search(r"\d", row[3])
 
 
-def test_an_absent_axis_is_named() -> None:
-    short = build_tables(made_record(axis for axis in VALUES if axis != "customers"))
+def test_missing_axis_is_named() -> None:
+    short = build_tables(synthetic_record(axis for axis in VALUES if axis != "customers"))
     row = next(row for row in rows_of(short["gateway"]) if row[0] == "CPU of control")
     assert row[1:4] == ["not measured", "not measured", "control_cpu_share over customers"]
 
@@ -294,13 +295,16 @@
     assert ratios == sorted(ratios, reverse=True)
 
 
-def test_each_mechanism_stands_with_its_smallest_part(tables: dict[str, str], model: CapacityModel) -> None:
+def test_each_mechanism_is_listed_at_its_smallest_size_fraction(
+    tables: dict[str, str], model: CapacityModel
+) -> None:
     smallest: dict[str, float] = {}
     for plan in ROLE_TABLES:
         for row in plan.rows:
             crossing = evaluate_row(plan.name, row, model).crossing
             if row.missing_mechanism and crossing is not None and crossing.size_fraction is not None:
-                smallest[row.missing_mechanism] = min(crossing.size_fraction, smallest.get(row.missing_mechanism, math.inf))
+                smallest[row.missing_mechanism] = min(
+                    crossing.size_fraction, smallest.get(row.missing_mechanism, math.inf))
     shown = {row[1]: row[3] for row in rows_of(tables["order"])}
     assert smallest
     for mechanism, part in smallest.items():
@@ -323,7 +327,8 @@
 
 @pytest.mark.parametrize("measure", MEASURES)
 def test_each_measure_has_a_row(measure: str) -> None:
-    plans = [row for table in ROLE_TABLES for row in table.rows] + [row for plan in FAILURES for row in plan.rows]
+    plans = ([row for table in ROLE_TABLES for row in table.rows]
+             + [row for plan in FAILURES for row in plan.rows])
     terms = [term for plan in plans for term in plan.terms]
     terms += [term.multiplied_by for term in terms if term.multiplied_by is not None]
     assert measure in {term.measure for term in terms}
@@ -336,14 +341,14 @@
     return RowPlan("quantity", "unit", "mechanism", terms, budget=Budget(most, "test"))
 
 
-def test_a_played_value_is_measured(model: CapacityModel) -> None:
+def test_played_value_is_measured(model: CapacityModel) -> None:
     result = evaluate_row("role", row(Term("list_bytes_out_leader", ("gateways",))), model)
     assert result.origin is Origin.MEASURED
     assert result.explanation.startswith("list_bytes_out_leader (measured at 1,100 gateways")
     assert result.estimate is not None and result.estimate.value == 300.0 * 1_100
 
 
-def test_one_axis_is_read_from_its_line(model: CapacityModel) -> None:
+def test_single_axis_is_estimated_by_its_line(model: CapacityModel) -> None:
     result = evaluate_row("role", row(Term("whole_list_bytes", ("backends",))), model)
     assert result.origin is Origin.FITTED
     assert result.explanation == ("whole_list_bytes (line through 50..800 backends, extended 10.6 times; "
@@ -351,78 +356,82 @@
     assert result.estimate is not None and math.isclose(result.estimate.value, 20.0 + 80.0 * 8_500)
 
 
-COMING_MET = 39_000 * BASE.spread / 1_100  # customers that come to one gateway
-CPU = 0.001 + 0.0001 * 1_100 + 0.00001 * 8_500 + 0.00001 * COMING_MET + 0.0001 * 240_000 / 1_100
+TARGET_CUSTOMERS = 39_000 * BASE.spread / 1_100
+CPU = 0.001 + 0.0001 * 1_100 + 0.00001 * 8_500 + 0.00001 * TARGET_CUSTOMERS + 0.0001 * 240_000 / 1_100
 
 
-def test_axes_add_up_from_where_the_first_was_played(model: CapacityModel) -> None:
+def test_differences_of_further_axes_are_added_to_the_anchor(model: CapacityModel) -> None:
     term = Term("control_cpu_share", ("gateways", "backends", "customers", "requests"), of_one_gateway=True)
     result = evaluate_row("role", row(term, most=CPU / 2), model)
     assert result.origin is Origin.CALCULATED and result.estimate is not None
     assert math.isclose(result.estimate.value, CPU, rel_tol=0.01)
     assert result.budget_ratio is not None and math.isclose(result.budget_ratio, 2.0, rel_tol=0.01)
     assert result.crossing is not None and result.crossing.size_fraction is not None
-    fixed = 0.001 + 0.00001 * COMING_MET + 0.0001 * 240_000 / 1_100  # the same at each part of the size
+    fixed = 0.001 + 0.00001 * TARGET_CUSTOMERS + 0.0001 * 240_000 / 1_100  # at each fraction of the size
     assert math.isclose(result.crossing.size_fraction, (CPU / 2 - fixed) / (CPU - fixed), abs_tol=0.03)
 
 
-def test_a_gateways_cost_follows_the_customers_that_come_to_it(model: CapacityModel) -> None:
+def test_cost_of_a_gateway_depends_on_its_customers(model: CapacityModel) -> None:
     term = Term("customers_per_gateway", ("gateways", "customers"), of_one_gateway=True)
-    assert math.isclose(model.estimate_term(term, TARGET_SIZE).value, COMING_MET, rel_tol=0.001)
+    assert math.isclose(model.estimate_term(term, TARGET_SIZE).value, TARGET_CUSTOMERS, rel_tol=0.001)
     only = Term("customers_per_gateway", ("customers",), of_one_gateway=True)
-    assert math.isclose(model.estimate_term(only, TARGET_SIZE).value, COMING_MET, rel_tol=0.001)
+    assert math.isclose(model.estimate_term(only, TARGET_SIZE).value, TARGET_CUSTOMERS, rel_tol=0.001)
 
 
-def test_a_sum_of_terms_and_a_factor_are_reckoned(model: CapacityModel) -> None:
+def test_sum_of_terms_and_factor_is_calculated(model: CapacityModel) -> None:
     gateways = Factor("gateways", lambda target: target.gateways)
-    terms = [Term(f"counter_bytes_{way}_per_gateway", ("gateways", "customers", "requests"), gateways,
-                  of_one_gateway=True) for way in ("out", "in")]
+    terms = [Term(f"counter_bytes_{direction}_per_gateway", ("gateways", "customers", "requests"), gateways,
+                  of_one_gateway=True) for direction in ("out", "in")]
     result = evaluate_row("role", row(*terms), model)
-    wanted = (15.0 * 240_000 / 1_100 + 0.6 * COMING_MET) * 1_100
+    wanted = (15.0 * 240_000 / 1_100 + 0.6 * TARGET_CUSTOMERS) * 1_100
     assert result.origin is Origin.CALCULATED and result.explanation.count(" x gateways") == 2
     assert result.estimate is not None and math.isclose(result.estimate.value, wanted, rel_tol=1e-3)
 
 
-def test_a_cost_per_call_is_multiplied_by_calls(model: CapacityModel) -> None:
+def test_cost_per_call_is_multiplied_by_calls(model: CapacityModel) -> None:
     rows = next(table.rows for table in ROLE_TABLES if table.name == "counter")
     plan = next(row for row in rows if row.quantity == "CPU")
     result = evaluate_row("counter", plan, model)
-    calls = (0.2 * 240_000 / 1_100 + 0.01 * COMING_MET) * 1_100
+    calls = (0.2 * 240_000 / 1_100 + 0.01 * TARGET_CUSTOMERS) * 1_100
     assert result.origin is Origin.CALCULATED and result.explanation.startswith("counter_us_per_call (")
     assert " x counter_calls_per_gateway (" in result.explanation
     assert result.estimate is not None and math.isclose(result.estimate.value, 20e-6 * calls, rel_tol=0.01)
 
 
-def test_an_axis_without_a_line_is_held_and_told() -> None:
-    short = CapacityModel(made_record(["backends"]).plays)
+def test_axis_without_a_line_stays_as_played_and_is_named() -> None:
+    short = CapacityModel(synthetic_record(["backends"]).plays)
     reading = short.estimate_term(Term("whole_list_bytes", ("backends",)), TARGET_SIZE)
     assert reading.derivation.endswith("; gateways, customers, requests, changes as played)")
 
 
-def test_a_bent_curve_is_not_extended_but_read_between_its_points(model: CapacityModel) -> None:
+def test_nonlinear_curve_is_interpolated_but_not_extrapolated(model: CapacityModel) -> None:
     term = Term("whole_list_ms", ("backends",))
     result = evaluate_row("role", row(term, most=7.0), model)
-    assert result.origin is Origin.NOT_EXTRAPOLATED and result.estimate is None and result.budget_ratio is None
+    assert (result.origin is Origin.NOT_EXTRAPOLATED and result.estimate is None
+            and result.budget_ratio is None)
     assert "bends over backends" in result.explanation and "14.4 there" in result.explanation
-    assert result.crossing is not None and result.crossing.size_fraction == 0.06  # between 400 and 800 backends
-    unpassed = evaluate_row("role", row(term, most=1_000.0), model).crossing
-    assert unpassed is not None and unpassed.text == "beyond what was played"
+    # between 400 and 800 backends
+    assert result.crossing is not None and result.crossing.size_fraction == 0.06
+    not_exceeded = evaluate_row("role", row(term, most=1_000.0), model).crossing
+    assert not_exceeded is not None and not_exceeded.text == "beyond what was played"
     curve = model.curves["backends", "whole_list_ms"]
     with pytest.raises(NotExtrapolated):
         curve.estimate_at(810.0)
     below = curve.estimate_at(40.0)
-    assert math.isclose(below.value, 0.525 + (0.525 - 1.1) / 50 * 10) and "extended down to 40" in below.derivation
+    assert (math.isclose(below.value, 0.525 + (0.525 - 1.1) / 50 * 10)
+            and "extended down to 40" in below.derivation)
 
 
-def test_a_slope_that_may_be_nought_adds_nothing(model: CapacityModel) -> None:
+def test_slope_with_zero_in_its_interval_adds_nothing(model: CapacityModel) -> None:
     curve = model.curves["requests", "news_longest_ms"]
     assert curve.is_flat
     assert math.isclose(curve.estimate_at(10_000.0).value, 30.0 + 0.1 * BASE.gateways, rel_tol=1e-6)
 
 
-def test_a_figure_below_nought_is_refused() -> None:
+def test_negative_estimate_is_rejected() -> None:
     falling = CapacityModel([
-        dataclasses.replace(made_play("gateways", value, 0), counts={"falling": 1_000.0 - value}, times={})
+        dataclasses.replace(
+            synthetic_play("gateways", value, 0), counts={"falling": 1_000.0 - value}, times={})
         for value in (50, 100, 200, 400, 800)
     ])
     term = Term("falling", ("gateways",))
@@ -432,7 +441,7 @@
     assert evaluate_row("role", row(term), falling).origin is Origin.NOT_EXTRAPOLATED
 
 
-def test_restarts_are_read_from_plays_with_restarts_alone(model: CapacityModel) -> None:
+def test_restart_measures_come_only_from_plays_with_restarts(model: CapacityModel) -> None:
     assert ("gateways", "restart_list_calls_fleet") not in model.curves
     gateways = Factor("gateways", lambda target: target.gateways)
     term = Term("restart_list_calls_fleet", ("restarted",), gateways, fixed_values={"restarted": 1 / 15},
@@ -440,24 +449,24 @@
     assert math.isclose(model.estimate_term(term, TARGET_SIZE).value, 2.0 / 15 * 1_100, rel_tol=1e-6)
 
 
-def test_too_few_values_are_measured_where_played_and_not_elsewhere() -> None:
-    few = CapacityModel([made_play("gateways", value, 0) for value in (50, 1_100)])
+def test_too_few_values_give_estimates_only_where_played() -> None:
+    few = CapacityModel([synthetic_play("gateways", value, 0) for value in (50, 1_100)])
     term = Term("list_bytes_out_leader", ("gateways",))
     assert few.estimate_term(term, TARGET_SIZE).origin is Origin.MEASURED
     with pytest.raises(NotMeasured):
         few.estimate_term(term, TARGET_SIZE.scaled(0.5))
 
 
-def test_figures_that_are_not_finite_are_no_figures() -> None:
-    play = made_play("gateways", 1_100, 0)
-    spoilt = dataclasses.replace(play, counts={"list_bytes_out_leader": math.nan})
+def test_values_that_are_not_finite_are_ignored() -> None:
+    play = synthetic_play("gateways", 1_100, 0)
+    invalid = dataclasses.replace(play, counts={"list_bytes_out_leader": math.nan})
     with pytest.raises(NotMeasured):
-        CapacityModel([spoilt]).estimate_term(Term("list_bytes_out_leader", ("gateways",)), TARGET_SIZE)
+        CapacityModel([invalid]).estimate_term(Term("list_bytes_out_leader", ("gateways",)), TARGET_SIZE)
 
 
 @pytest.mark.parametrize(("value", "text"), [
     (0.0, "0"), (8_500.0, "8,500"), (0.046, "0.046"), (1.5, "1.5"), (1234.5, "1,230"), (999.6, "1,000"),
     (0.000_012_3, "1.23e-05"), (0.123_456, "0.123"), (12.34, "12.3"), (-0.5, "-0.5"), (2_900.0, "2,900"),
 ])
-def test_numbers_have_three_digits(value: float, text: str) -> None:
+def test_numbers_have_three_significant_digits(value: float, text: str) -> None:
     assert format_number(value) == text
--- a/tests/test_scale_fits.py
+++ b/tests/test_scale_fits.py
@@ -1,4 +1,4 @@
-"""Lines through recorded plays: what was drawn is found again, and what bends is not extended."""
+"""Lines through recorded plays: fits recover known lines, and nonlinear curves are not extrapolated."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     return Play(axis, value, number, number, SIZE, 1.0, counts, times)
 
 
-def bent_plays() -> list[Play]:
-    """Plays of one axis, with a measure on a line, one on a parabola, and one that is constant."""
-    chance = random.Random(7)
+def plays_of_three_measures() -> list[Play]:
+    """Plays of one axis with a linear, a quadratic and a constant measure."""
+    rng = random.Random(7)
     return [
         play("gateways", value, number,
-             {"calls": 3.0 * value + chance.gauss(0, 1), "same": 4.0},
-             {"time_ms": value + 0.05 * value ** 2 + chance.gauss(0, 1)})
+             {"calls": 3.0 * value + rng.gauss(0, 1), "same": 4.0},
+             {"time_ms": value + 0.05 * value ** 2 + rng.gauss(0, 1)})
         for value in (10.0, 20.0, 40.0, 80.0, 160.0, 320.0) for number in range(PLAYS_PER_POINT)
     ]
 
@@ -44,7 +44,7 @@
 
 
 @given(values=axis_values, slope=steep, intercept=amounts)
-def test_a_drawn_line_is_found_again(values: list[int], slope: float, intercept: float) -> None:
+def test_known_line_is_recovered(values: list[int], slope: float, intercept: float) -> None:
     found = fit_line("a", "m", [(float(value), intercept + slope * value) for value in values])
     scale = abs(intercept) + abs(slope) * max(values)
     assert math.isclose(found.slope, slope, rel_tol=1e-6, abs_tol=1e-9 * scale / (max(values) - min(values)))
@@ -54,12 +54,12 @@
 
 
 @given(values=axis_values, slope=steep, intercept=amounts, seed=st.integers(0, 2 ** 32))
-def test_a_line_with_noise_is_found_and_its_interval_is_around_it(
+def test_noisy_line_is_recovered_within_its_interval(
     values: list[int], slope: float, intercept: float, seed: int
 ) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     deviation = 0.01 * abs(slope) * (max(values) - min(values))
-    points = [(float(value), intercept + slope * value + chance.gauss(0, deviation))
+    points = [(float(value), intercept + slope * value + rng.gauss(0, deviation))
               for value in values for _ in range(PLAYS_PER_POINT)]
     found = fit_line("a", "m", points)
     assert found.low <= found.slope <= found.high and found.plays == len(points)
@@ -69,11 +69,11 @@
 
 @given(values=axis_values, slope=steep, intercept=st.floats(-100, 100), bend=st.floats(0.3, 3.0),
        seed=st.integers(0, 2 ** 32))
-def test_a_drawn_parabola_is_called_bent(
+def test_parabola_is_detected_as_nonlinear(
     values: list[int], slope: float, intercept: float, bend: float, seed: int
 ) -> None:
-    """The bend is a part of the line's own rise over the played values, the noise a hundredth of the bend."""
-    chance = random.Random(seed)
+    """The bend is relative to the line's rise over the played values, the noise a hundredth of the bend."""
+    rng = random.Random(seed)
     low, reach = min(values), max(values) - min(values)
     rise = slope * reach
     parts = [(value - low) / reach for value in values]
@@ -82,7 +82,7 @@
     line = fit_line("a", "m", exact)
     assert line.bends
     effect = max(abs(figure - line.intercept - line.slope * value) for value, figure in exact)
-    found = fit_line("a", "m", [(value, figure + chance.gauss(0, 0.01 * effect)) for value, figure in exact
+    found = fit_line("a", "m", [(value, figure + rng.gauss(0, 0.01 * effect)) for value, figure in exact
                                 for _ in range(PLAYS_PER_POINT)])
     assert found.bends and math.isfinite(predict(found, max(values)))
     with pytest.raises(NotExtrapolated):
@@ -90,13 +90,13 @@
 
 
 @settings(max_examples=50)
-@given(order=st.permutations(bent_plays()))
-def test_the_order_of_plays_changes_nothing(order: list[Play]) -> None:
-    assert fit_slopes(order) == fit_slopes(bent_plays())
+@given(order=st.permutations(plays_of_three_measures()))
+def test_order_of_plays_does_not_matter(order: list[Play]) -> None:
+    assert fit_slopes(order) == fit_slopes(plays_of_three_measures())
 
 
 @given(points=st.lists(st.tuples(st.integers(1, 30).map(float), st.floats(-1e9, 1e9)), max_size=30))
-def test_any_points_give_a_line_or_a_typed_error(points: Points) -> None:
+def test_any_points_give_a_line_or_raise_not_fitted(points: Points) -> None:
     try:
         found = fit_line("a", "m", points)
     except NotFitted:
@@ -109,13 +109,13 @@
 # cases
 
 
-def test_a_straight_line_is_extended() -> None:
+def test_straight_line_is_extrapolated() -> None:
     found = fit_line("a", "m", [(value, 2.0 * value + 1.0) for value in (1.0, 2.0, 3.0, 4.0, 5.0)])
     assert math.isclose(predict(found, 1_000.0), 2_001.0)
 
 
-def test_the_interval_is_students() -> None:
-    """By hand: sums of squares of values and figures are 10, the correlation is 0.8, degrees 3."""
+def test_confidence_interval_uses_students_t_distribution() -> None:
+    """Calculated by hand: both sums of squares are 10, the correlation is 0.8, with 3 degrees of freedom."""
     found = fit_line("a", "m", list(zip((1.0, 2.0, 3.0, 4.0, 5.0), (1.0, 3.0, 2.0, 5.0, 4.0), strict=True)))
     margin = 3.182446305 * math.sqrt((10 - 0.8 ** 2 * 10) / 3 / 10)
     assert math.isclose(found.slope, 0.8) and math.isclose(found.intercept, 0.6)
@@ -124,15 +124,15 @@
     assert math.isclose(found.residual, math.sqrt((10 - 6.4) / 5))
 
 
-def test_a_bend_below_the_spread_of_plays_does_not_count() -> None:
-    """Many plays make a quadratic term significant that is smaller than plays of one point differ."""
+def test_bend_smaller_than_the_deviation_of_plays_is_ignored() -> None:
+    """With many plays, a quadratic term is significant even if smaller than the deviation at one value."""
     points = [(float(value), 0.05 * value ** 2 + deviation)
               for value in range(-3, 4) for deviation in (-1.0, 1.0) for _ in range(200)]
     assert not fit_line("a", "m", points).bends
     assert fit_line("a", "m", [(value, figure + 2 * value ** 2) for value, figure in points]).bends
 
 
-def test_a_constant_measure_has_no_slope() -> None:
+def test_constant_measure_has_zero_slope() -> None:
     found = fit_line("a", "m", [(float(value), 0.1) for value in range(7)])
     assert (found.slope, found.low, found.high, found.intercept, found.residual, found.bends) \
         == (0.0, 0.0, 0.0, 0.1, 0.0, False)
@@ -144,19 +144,19 @@
     [(float(value), 1.0 if value else math.inf) for value in range(MIN_DISTINCT_VALUES)],
     [(math.nan, float(value)) for value in range(MIN_DISTINCT_VALUES)],
 ])
-def test_too_few_points_are_a_typed_error(points: Points) -> None:
+def test_too_few_points_raise_not_fitted(points: Points) -> None:
     with pytest.raises(NotFitted):
         fit_line("a", "m", points)
 
 
-def test_points_that_are_not_finite_are_left_out() -> None:
+def test_points_that_are_not_finite_are_ignored() -> None:
     good = [(float(value), 2.0 * value) for value in range(6)]
     assert fit_line("a", "m", [*good, (9.0, math.nan), (9.0, math.inf)]) == fit_line("a", "m", good)
 
 
-def test_each_axis_and_measure_has_its_slope() -> None:
+def test_each_axis_and_measure_has_its_own_slope() -> None:
     few = [play("backends", value, 0, {"calls": value}, {}) for value in (1.0, 2.0)]
-    found = {(slope.axis, slope.measure): slope for slope in fit_slopes([*bent_plays(), *few])}
+    found = {(slope.axis, slope.measure): slope for slope in fit_slopes([*plays_of_three_measures(), *few])}
     assert set(found) == {("gateways", "calls"), ("gateways", "same"), ("gateways", "time_ms")}
     assert [key[1] for key, slope in found.items() if slope.bends] == ["time_ms"]
     assert found["gateways", "calls"].plays == 6 * PLAYS_PER_POINT
@@ -166,17 +166,17 @@
 # plots
 
 
-def test_one_png_for_each_axis(tmp_path: pathlib.Path) -> None:
+def test_one_png_is_written_for_each_axis(tmp_path: pathlib.Path) -> None:
     more = [play("spread", value, 0, {"refused_share": value, "lost": math.nan}, {}) for value in (1.0, 2.0)]
     none = [play("changes", 1.0, 0, {}, {"time_ms": math.nan})]
-    record = Record(FORMAT_VERSION, "2026-01-02", "none", 8, (*bent_plays(), *more, *none))
+    record = Record(FORMAT_VERSION, "2026-01-02", "none", 8, (*plays_of_three_measures(), *more, *none))
     paths = write_plots(record, tmp_path / "new" / "plots")
     assert [path.name for path in paths] == ["gateways.png", "spread.png"]
     assert all(path.read_bytes().startswith(b"\x89PNG") for path in paths)
     assert write_plots(Record(FORMAT_VERSION, "2026-01-02", "none", 8, ()), tmp_path) == []
 
 
-def test_equal_figures_whose_mean_rounds_are_drawn(tmp_path: pathlib.Path) -> None:
+def test_equal_figures_with_a_rounded_mean_are_drawn(tmp_path: pathlib.Path) -> None:
     plays = [play("gateways", value, number, {"calls": figure}, {})
              for value, figure in ((1.0, 0.1), (2.0, 0.7)) for number in range(PLAYS_PER_POINT)]
     assert len(write_plots(Record(FORMAT_VERSION, "2026-01-02", "none", 8, tuple(plays)), tmp_path)) == 1
@@ -188,5 +188,5 @@
     ("whole_list_bytes", "Bytes"), ("restart_list_calls_fleet", "Calls"), ("news_last_ms", "Elapsed time"),
     ("restart_all_told_s", "Elapsed time"), ("counter_names_active", "Other"),
 ])
-def test_measures_stand_with_their_like(measure: str, group: str) -> None:
+def test_measures_are_grouped_by_unit(measure: str, group: str) -> None:
     assert group_title(measure) == group
