--- a/embersill/lab/scale/bounds.py
+++ b/embersill/lab/scale/bounds.py
@@ -94,7 +94,7 @@
 
 
 def has_low_rate_plans(size: FleetSize, seed: int) -> bool:
-    """Whether a gateway's slice of some quota holds less than a request."""
+    """Whether a gateway's slice of some quota holds less than one request, or two at a wide spread."""
     min_burst = size.spread * (MIN_REQUESTS_AT_WIDE_SPREAD if size.spread > WIDE_SPREAD else 1.0)
     return any(plan.burst < min_burst for plan in Deployment(size, seed).plans)
 
@@ -103,7 +103,7 @@
     """Bytes of the longest counter call in the published protocol."""
     life_ms = str(round(1000.0 * LONGEST_LIFE_SECONDS))
     arguments = ("CNT.ADD", "n" * MOST_NAME_BYTES, LONGEST_AMOUNT, life_ms)
-    return len(hiredis.pack_command(arguments))  # type: ignore[arg-type]  # its stub accepts a single string only
+    return len(hiredis.pack_command(arguments))  # type: ignore[arg-type]  # stub accepts one string only
 
 
 def max_list_bytes(entries: int) -> float:
--- a/embersill/lab/scale/capacity_model.py
+++ b/embersill/lab/scale/capacity_model.py
@@ -246,16 +246,16 @@
         anchor = self.curve(term.axes[0], term.measure)
         estimate = anchor.estimate_at(axis_value(term, anchor, target_values))
         value, origin, derivations = estimate.value, estimate.origin, [estimate.derivation]
-        slopes, played_ranges, flat, held = (
+        slopes, played_ranges, flat, as_played = (
             list(estimate.slopes), list(estimate.played_ranges), list[str](), list[str]())
-        state = played_axis_values(anchor.size_at_largest) | {anchor.axis: target_values[anchor.axis]}
+        current = played_axis_values(anchor.size_at_largest) | {anchor.axis: target_values[anchor.axis]}
         for axis in additional_axes(term, target_values):
             curve = self.additional_curve(term, axis)
             if curve is None:
-                held += [] if is_same_value(state[axis], target_values[axis]) else [axis]
+                as_played += [] if is_same_value(current[axis], target_values[axis]) else [axis]
                 continue
-            base, target_value = axis_value(term, curve, state), axis_value(term, curve, target_values)
-            state[axis] = target_values[axis]
+            base, target_value = axis_value(term, curve, current), axis_value(term, curve, target_values)
+            current[axis] = target_values[axis]
             if is_same_value(base, target_value):
                 continue
             if curve.is_flat:
@@ -269,8 +269,8 @@
         text = " + ".join(derivations)
         if flat:
             text += f"; flat over {', '.join(flat)}"
-        if held:
-            text += f"; {', '.join(held)} as played"
+        if as_played:
+            text += f"; {', '.join(as_played)} as played"
         if term.divide_by_gateways:
             value, origin, text = (
                 value / anchor.size_at_largest.gateways, Origin.CALCULATED, text + "; per played gateway")
@@ -314,7 +314,7 @@
 def axis_value(term: Term, curve: Curve, size: AxisValues) -> float:
     """The value on the curve's axis that corresponds to this size.
 
-    For a measure of one gateway it is the number of customers that gives a gateway of the curve's own fleet
+    On the customers axis, for a measure of one gateway, it is the number that gives a gateway of the curve's fleet
     as many customers as a gateway has at this size.
     """
     value = size[curve.axis]
--- a/embersill/lab/scale/capacity_plan.py
+++ b/embersill/lab/scale/capacity_plan.py
@@ -126,7 +126,7 @@
 def unmeasured_row(
     quantity: str, unit: str, missing_mechanism: str, budget: Budget | None = None
 ) -> RowPlan:
-    """A row of a mechanism that does not exist yet."""
+    """A row without a value, because the mechanism that it measures does not exist yet."""
     return RowPlan(quantity, unit, NO_MECHANISM, budget=budget, missing_mechanism=missing_mechanism)
 
 
@@ -159,7 +159,7 @@
             budget=GATEWAY_MEMORY, missing_mechanism=SUBSETS),
     RowPlan("memory of customers", "MB", LOCAL_DECISION,
             (one_gateway_term("memory_per_customer_bytes", "customers", multiplied_by=CUSTOMERS_AT_GATEWAY,
-                        factor=BYTES_TO_MB),),
+                              factor=BYTES_TO_MB),),
             budget=GATEWAY_MEMORY, missing_mechanism=SHARDING),
     RowPlan("time here, median, waits for quota included", "ms", LOCAL_DECISION,
             (one_gateway_term("added_p50_ms", "requests"),)),
--- a/tests/test_scale_capacity.py
+++ b/tests/test_scale_capacity.py
@@ -337,8 +337,8 @@
 # the model
 
 
-def row(*terms: Term, most: float = math.inf) -> RowPlan:
-    return RowPlan("quantity", "unit", "mechanism", terms, budget=Budget(most, "test"))
+def row(*terms: Term, max_value: float = math.inf) -> RowPlan:
+    return RowPlan("quantity", "unit", "mechanism", terms, budget=Budget(max_value, "test"))
 
 
 def test_played_value_is_measured(model: CapacityModel) -> None:
@@ -362,7 +362,7 @@
 
 def test_differences_of_further_axes_are_added_to_the_anchor(model: CapacityModel) -> None:
     term = Term("control_cpu_share", ("gateways", "backends", "customers", "requests"), of_one_gateway=True)
-    result = evaluate_row("role", row(term, most=CPU / 2), model)
+    result = evaluate_row("role", row(term, max_value=CPU / 2), model)
     assert result.origin is Origin.CALCULATED and result.estimate is not None
     assert math.isclose(result.estimate.value, CPU, rel_tol=0.01)
     assert result.budget_ratio is not None and math.isclose(result.budget_ratio, 2.0, rel_tol=0.01)
@@ -383,9 +383,9 @@
     terms = [Term(f"counter_bytes_{direction}_per_gateway", ("gateways", "customers", "requests"), gateways,
                   of_one_gateway=True) for direction in ("out", "in")]
     result = evaluate_row("role", row(*terms), model)
-    wanted = (15.0 * 240_000 / 1_100 + 0.6 * TARGET_CUSTOMERS) * 1_100
+    expected = (15.0 * 240_000 / 1_100 + 0.6 * TARGET_CUSTOMERS) * 1_100
     assert result.origin is Origin.CALCULATED and result.explanation.count(" x gateways") == 2
-    assert result.estimate is not None and math.isclose(result.estimate.value, wanted, rel_tol=1e-3)
+    assert result.estimate is not None and math.isclose(result.estimate.value, expected, rel_tol=1e-3)
 
 
 def test_cost_per_call_is_multiplied_by_calls(model: CapacityModel) -> None:
@@ -406,13 +406,13 @@
 
 def test_nonlinear_curve_is_interpolated_but_not_extrapolated(model: CapacityModel) -> None:
     term = Term("whole_list_ms", ("backends",))
-    result = evaluate_row("role", row(term, most=7.0), model)
+    result = evaluate_row("role", row(term, max_value=7.0), model)
     assert (result.origin is Origin.NOT_EXTRAPOLATED and result.estimate is None
             and result.budget_ratio is None)
     assert "bends over backends" in result.explanation and "14.4 there" in result.explanation
     # between 400 and 800 backends
     assert result.crossing is not None and result.crossing.size_fraction == 0.06
-    not_exceeded = evaluate_row("role", row(term, most=1_000.0), model).crossing
+    not_exceeded = evaluate_row("role", row(term, max_value=1_000.0), model).crossing
     assert not_exceeded is not None and not_exceeded.text == "beyond what was played"
     curve = model.curves["backends", "whole_list_ms"]
     with pytest.raises(NotExtrapolated):
--- a/tests/test_scale_command.py
+++ b/tests/test_scale_command.py
@@ -84,9 +84,9 @@
 @pytest.fixture
 def started() -> Iterator[list[Command]]:
     """The commands of a test; processes that still run at its end are killed by their ids."""
-    made: list[Command] = []
-    yield made
-    for command in made:
+    commands: list[Command] = []
+    yield commands
+    for command in commands:
         for pid in (command.process.pid, *command.children()):
             try:
                 os.kill(pid, signal.SIGKILL)
