--- a/embersill/lab/scale/capacity_model.py
+++ b/embersill/lab/scale/capacity_model.py
@@ -314,8 +314,8 @@
 def axis_value(term: Term, curve: Curve, size: AxisValues) -> float:
     """The value on the curve's axis that corresponds to this size.
 
-    On the customers axis, for a measure of one gateway, it is the number that gives a gateway of the curve's fleet
-    as many customers as a gateway has at this size.
+    On the customers axis, for a measure of one gateway, it is the number that gives each gateway of the
+    curve's fleet as many customers as a gateway has at this size.
     """
     value = size[curve.axis]
     if curve.axis == "customers" and term.of_one_gateway:
