--- a/embersill/lab/scale/clients_process.py
+++ b/embersill/lab/scale/clients_process.py
@@ -1,7 +1,9 @@
-"""What surrounds the real gateways of a play: python -m embersill.lab.scale.clients_process, as a child.
+"""The process that hosts the peers of a play's real gateways, a child of the scale command.
 
-Backends that answer after the time that a request asks for, relays that count what a gateway exchanges with
-the list service and the counter, and clients that send drawn requests over HTTP.
+    python -m embersill.lab.scale.clients_process
+
+It holds backends that answer after the service time that a request names, relays that count the calls and
+bytes between a gateway and the list service or the counter, and clients that send generated requests by HTTP.
 """
 
 from __future__ import annotations
@@ -17,10 +19,10 @@
 import hiredis
 import uvloop
 
-from embersill.lab.peers import HOST, Peer, message, read_message
-from embersill.lab.scale.deployment import BUDGET_SECONDS, KEYED, Deployment, DrawnRequest, customer_name
+from embersill.lab.peers import HOST, Peer, response_bytes, read_message
+from embersill.lab.scale.deployment import BUDGET_SECONDS, KEYED, Deployment, GeneratedRequest, customer_name
 from embersill.lab.scale.hollow import RequestSource
-from embersill.lab.scale.lines import OrderStream, send_answer
+from embersill.lab.scale.lines import CommandStream, send_answer
 from embersill.lab.scale.messages import (
     BeginLoad, BeginMeasuring, ClientsReport, ClientsTask, Collect, Done, EndMeasuring, GatewayCounts,
     Listening, QuotaEvents, RealGatewayPorts,
@@ -28,45 +30,47 @@
 
 CHUNK_BYTES = 65536
 BODY = b"x" * 200  # of a keyed request
-WORK = re.compile(r"client=([0-9a-f]+)&work_us=(\d+)")
+# customer and service time in the query of a request
+WORK_QUERY = re.compile(r"client=([0-9a-f]+)&work_us=(\d+)")
 ADD_CALL = b"CNT.ADD"
 HEAD_END = b"\r\n\r\n"
 
 
 @dataclass(slots=True)
-class EventLog:
-    """Requests sent on or refused, as peers see them."""
+class QuotaEventLog:
+    """Requests sent on or refused by real gateways, as backends and clients see them."""
 
     events: QuotaEvents = field(default_factory=lambda: QuotaEvents([], [], []))
 
-    def note(self, customer: int, sent: bool) -> None:
+    def record(self, customer: int, sent: bool) -> None:
+        """Records that a request arrived at a backend, or that a client got a refusal."""
         self.events.times.append(time.monotonic())
         self.events.customers.append(customer)
         self.events.sent.append(sent)
 
 
 class Backends(Peer):
-    """All backends of the fleet behind one address; each answer tells how long it took here."""
+    """All backends of the fleet at one address; the body of an answer is the service time in seconds."""
 
-    def __init__(self, log: EventLog) -> None:
+    def __init__(self, log: QuotaEventLog) -> None:
         super().__init__()
         self.log = log
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             first, _, _ = await read_message(reader)
-            began = time.monotonic()
-            found = WORK.search(first)
+            started_at = time.monotonic()
+            found = WORK_QUERY.search(first)
             if found is None:
-                writer.write(message(400))
+                writer.write(response_bytes(400))
                 continue
-            self.log.note(int(found[1], 16), True)
+            self.log.record(int(found[1], 16), True)
             await asyncio.sleep(int(found[2]) / 1e6)
-            writer.write(message(200, b"%.6f" % (time.monotonic() - began)))
+            writer.write(response_bytes(200, b"%.6f" % (time.monotonic() - started_at)))
 
 
 class CallCounter:
-    """Counts calls of the counter in what a gateway writes on one connection."""
+    """Counts counter calls in the bytes that a gateway writes to one connection."""
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
@@ -80,10 +84,10 @@
 
 
 class RequestCounter:
-    """Counts HTTP requests without a body in what a gateway writes on one connection."""
+    """Counts HTTP requests without a body in the bytes that a gateway writes to one connection."""
 
     def __init__(self) -> None:
-        self.tail = b""
+        self.tail = b""  # the last bytes, in which the end of a head may have begun
 
     def __call__(self, data: bytes) -> int:
         text = self.tail + data
@@ -93,7 +97,7 @@
 
 @dataclass(slots=True)
 class RelayFigures:
-    """What went through a relay."""
+    """Calls and bytes that passed through the relays to one service."""
 
     calls: int = 0
     bytes_out: int = 0
@@ -101,30 +105,31 @@
 
 
 class Relay(Peer):
-    """Passes connections on to a service and counts."""
+    """Forwards connections to a service, and counts calls and bytes."""
 
     def __init__(
-        self, target: str, make_counter: Callable[[], CallCounter | RequestCounter], figures: RelayFigures
+        self, target: str, make_call_counter: Callable[[], CallCounter | RequestCounter],
+        figures: RelayFigures,
     ) -> None:
         super().__init__()
         host, _, port = target.rpartition(":")
         self.host, self.port = host, int(port)
-        self.make_counter, self.figures = make_counter, figures
+        self.make_call_counter, self.figures = make_call_counter, figures
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         answers, calls = await asyncio.open_connection(self.host, self.port)
-        back = asyncio.create_task(self.pass_answers(answers, writer))
-        count = self.make_counter()
+        answer_task = asyncio.create_task(self.relay_answers(answers, writer))
+        count = self.make_call_counter()
         try:
             while data := await reader.read(CHUNK_BYTES):
                 self.figures.bytes_out += len(data)
                 self.figures.calls += count(data)
                 calls.write(data)
         finally:
-            back.cancel()
+            answer_task.cancel()
             calls.close()
 
-    async def pass_answers(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def relay_answers(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await answers.read(CHUNK_BYTES):
             self.figures.bytes_in += len(data)
             writer.write(data)
@@ -132,8 +137,8 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """Final answers, as clients of one gateway got them."""
+class AnswerCounts:
+    """Requests of one gateway's clients, and their final answers."""
 
     requests: int = 0
     served: int = 0
@@ -145,52 +150,57 @@
     """Clients and relays of one real gateway."""
 
     def __init__(
-        self, task: ClientsTask, deployment: Deployment, ports: RealGatewayPorts, log: EventLog
+        self, task: ClientsTask, deployment: Deployment, ports: RealGatewayPorts, log: QuotaEventLog
     ) -> None:
         self.deployment, self.ports, self.log = deployment, ports, log
-        self.tally, self.added_ms = Tally(), list[float]()
+        self.answer_counts, self.added_ms = AnswerCounts(), list[float]()
         self.counter_figures, self.list_figures = RelayFigures(), RelayFigures()
         self.relays = [
             (Relay(address, RequestCounter, self.list_figures), port)
             for address, port in zip(task.directories, ports.discovery_relays, strict=True)]
         self.relays.append((Relay(task.counter, CallCounter, self.counter_figures), ports.counter_relay))
         seed = random.Random(f"{task.seed} real {ports.number}").getrandbits(32)
-        self.source = RequestSource(deployment, ports.number, seed, self.arrive)
-        self.numbers = itertools.count(ports.number << 40)
-        self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.source = RequestSource(deployment, ports.number, seed, self.on_arrival)
+        self.request_numbers = itertools.count(ports.number << 40)
+        self.idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.measuring = False
 
     async def start(self) -> None:
+        """Starts the relays; the request source is started by BeginLoad."""
         for relay, port in self.relays:
             await relay.start(port)
 
-    def arrive(self, drawn: DrawnRequest) -> None:
-        self.tally.requests += 1
-        task = asyncio.create_task(self.ask(drawn))
+    def on_arrival(self, generated: GeneratedRequest) -> None:
+        self.answer_counts.requests += 1
+        task = asyncio.create_task(self.send_request(generated))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def ask(self, drawn: DrawnRequest) -> None:
-        """One request, on a connection that no other uses meanwhile."""
-        began = time.monotonic()
+    async def send_request(self, generated: GeneratedRequest) -> None:
+        """Sends a request on a connection of its own, and counts its answer."""
+        started_at = time.monotonic()
         try:
             async with asyncio.timeout(BUDGET_SECONDS):
-                status, body = await self.exchange(self.text(drawn))
+                status, body = await self.exchange(self.request_bytes(generated))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            self.tally.failed += 1
+            self.answer_counts.failed += 1
             return
         if status == 200:
-            self.tally.served += 1
+            self.answer_counts.served += 1
             if self.measuring:
-                self.added_ms.append(1000.0 * (time.monotonic() - began - float(body)))
+                self.added_ms.append(1000.0 * (time.monotonic() - started_at - float(body)))
         elif status in (429, 503):
-            self.tally.refused += 1
-            self.log.note(drawn.customer, False)
+            self.answer_counts.refused += 1
+            self.log.record(generated.customer, False)
         else:
-            self.tally.failed += 1
+            self.answer_counts.failed += 1
 
     async def exchange(self, text: bytes) -> tuple[int, bytes]:
+        """Sends a request, and returns status and body of the answer.
+
+        Raises OSError or IncompleteReadError where the connection ends before.
+        """
         reader, writer = await self.connection()
         try:
             writer.write(text)
@@ -201,71 +211,81 @@
         if headers.get("connection") == "close":
             writer.close()
         else:
-            self.idle.append((reader, writer))
+            self.idle_connections.append((reader, writer))
         return int(first.split()[1]), body
 
     async def connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        while self.idle:
-            reader, writer = self.idle.pop()
+        """An idle connection that is still open, or a new one."""
+        while self.idle_connections:
+            reader, writer = self.idle_connections.pop()
             if not (reader.at_eof() or writer.is_closing()):
                 return reader, writer
         return await asyncio.open_connection(HOST, self.ports.gateway)
 
-    def text(self, drawn: DrawnRequest) -> bytes:
-        name = f"{next(self.numbers):016x}"
-        keyed = drawn.klass == KEYED
+    def request_bytes(self, generated: GeneratedRequest) -> bytes:
+        """The request as it is written to a connection."""
+        name = f"{next(self.request_numbers):016x}"
+        keyed = generated.request_class == KEYED
         body = BODY if keyed else b""
-        query = f"client={customer_name(drawn.customer)}&work_us={round(1e6 * drawn.service_seconds)}"
-        first = int(self.deployment.first_gateways[drawn.customer])
+        query = (f"client={customer_name(generated.customer)}"
+                 f"&work_us={round(1e6 * generated.service_seconds)}")
+        first = int(self.deployment.first_gateways[generated.customer])
         lines = [
             f"{'POST' if keyed else 'GET'} /api?{query} HTTP/1.1", "Host: backend.local",
-            f"X-Call-Id: {name}", f"X-Call-Class: {drawn.klass}",
-            f"Plan: {self.deployment.plan_of(drawn.customer).name}", f"X-Budget: {BUDGET_SECONDS:.3f}",
+            f"X-Call-Id: {name}", f"X-Call-Class: {generated.request_class}",
+            f"Plan: {self.deployment.plan_of(generated.customer).name}", f"X-Budget: {BUDGET_SECONDS:.3f}",
             f"Quota-Info: units=1,spread={self.deployment.size.spread},first={first}",
             *([f"Idempotency-Key: {name * 2}", f"Content-Length: {len(body)}"] if keyed else []), "", ""]
         return "\r\n".join(lines).encode() + body
 
     def counts(self) -> GatewayCounts:
-        tally, counter, listed = self.tally, self.counter_figures, self.list_figures
+        """The present counts as a part of a report."""
+        answers, counter, list_service = self.answer_counts, self.counter_figures, self.list_figures
         return GatewayCounts(
-            tally.requests, tally.served, tally.refused, tally.failed, counter.calls, counter.bytes_out,
-            counter.bytes_in, listed.calls, listed.bytes_out, listed.bytes_in)
+            answers.requests, answers.served, answers.refused, answers.failed, counter.calls,
+            counter.bytes_out, counter.bytes_in, list_service.calls,
+            list_service.bytes_out, list_service.bytes_in)
 
 
 class ClientsProcess:
-    """All of this process."""
+    """The backends, and the clients and relays of all real gateways."""
 
     def __init__(self, task: ClientsTask) -> None:
         deployment = Deployment(task.size, task.seed)
-        self.port, self.log = task.backend_port, EventLog()
+        self.port, self.log = task.backend_port, QuotaEventLog()
         self.backends = Backends(self.log)
         self.clients = [RealGatewayClients(task, deployment, ports, self.log) for ports in task.gateways]
-        self.began = self.ended = [made.counts() for made in self.clients]
+        self.counts_at_start = self.counts_at_end = [clients.counts() for clients in self.clients]
 
     async def start(self) -> None:
         await self.backends.start(self.port)
-        for made in self.clients:
-            await made.start()
+        for clients in self.clients:
+            await clients.start()
 
-    def measure(self, on: bool) -> list[GatewayCounts]:
-        for made in self.clients:
-            made.measuring = on
-        return [made.counts() for made in self.clients]
+    def set_measuring(self, on: bool) -> list[GatewayCounts]:
+        """Starts or ends measuring of latencies; returns the present counts of each gateway."""
+        for clients in self.clients:
+            clients.measuring = on
+        return [clients.counts() for clients in self.clients]
 
     def report(self) -> ClientsReport:
-        counts = [after.since(before) for before, after in zip(self.began, self.ended, strict=True)]
-        return ClientsReport(counts, [ms for made in self.clients for ms in made.added_ms], self.log.events)
-
-    async def obey(self, orders: OrderStream) -> None:
-        while (order := await orders.read()) is not None:
-            match order:
+        """Counts and latencies of the measured time, and all quota events."""
+        counts = [after.since(before) for before, after in
+                  zip(self.counts_at_start, self.counts_at_end, strict=True)]
+        return ClientsReport(
+            counts, [ms for clients in self.clients for ms in clients.added_ms], self.log.events)
+
+    async def handle_commands(self, commands: CommandStream) -> None:
+        """Carries out commands until the stream ends."""
+        while (command := await commands.read()) is not None:
+            match command:
                 case BeginLoad():
-                    for made in self.clients:
-                        made.source.start()
+                    for clients in self.clients:
+                        clients.source.start()
                 case BeginMeasuring():
-                    self.began = self.measure(True)
+                    self.counts_at_start = self.set_measuring(True)
                 case EndMeasuring():
-                    self.ended = self.measure(False)
+                    self.counts_at_end = self.set_measuring(False)
                 case Collect():
                     send_answer(self.report())
                     continue
@@ -273,14 +293,15 @@
 
 
 async def serve() -> None:
-    orders = await OrderStream.open()
-    task = await orders.read()
+    """Runs the process from its task to the end of its commands."""
+    commands = await CommandStream.open()
+    task = await commands.read()
     if not isinstance(task, ClientsTask):
         return
     process = ClientsProcess(task)
     await process.start()
     send_answer(Listening())
-    await process.obey(orders)
+    await process.handle_commands(commands)
 
 
 def main() -> None:
--- a/tests/measure_drain.py
+++ b/tests/measure_drain.py
@@ -19,7 +19,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from embersill.lab.peers import Asked, message
+from embersill.lab.peers import HttpMessage, response_bytes
 from tests.bed import READY, Client, request
 from tests.peers import BackendPeer
 from tests.test_directory_gateways import GatewayProcess
@@ -109,13 +109,15 @@
         for number, backend in enumerate(backends):
             backend.script = RepeatedStep(self.make_step(number))
 
-    def make_step(self, number: int) -> Callable[[asyncio.StreamWriter, Asked], Coroutine[Any, Any, None]]:
-        async def serve(writer: asyncio.StreamWriter, got: Asked) -> None:
+    def make_step(
+        self, number: int
+    ) -> Callable[[asyncio.StreamWriter, HttpMessage], Coroutine[Any, Any, None]]:
+        async def serve(writer: asyncio.StreamWriter, got: HttpMessage) -> None:
             self.executions.append((time.monotonic(), number, got[1]["x-call-id"]))
             await asyncio.sleep(
                 MAX_WORK_TIME if random.random() < 0.1 else MAX_WORK_TIME / 10 * random.random()
             )
-            writer.write(message(200, b"served"))
+            writer.write(response_bytes(200, b"served"))
 
         return serve
 
--- a/tests/test_ops_real.py
+++ b/tests/test_ops_real.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from embersill.lab.peers import HOST, Asked, Peer, free_port, read_message
+from embersill.lab.peers import HOST, HttpMessage, Peer, free_port, read_message
 from tests.bed import READY, request
 from tests.lists import ListClient, process, run
 from tests.peers import SOON, BackendPeer
@@ -111,7 +111,7 @@
             assert code == 0 and "empty" in err, err
             seen = len(fleet.backends[0].seen)
             await load.wait_for_answers(200)
-            assert len(fleet.backends[0].seen) == seen and not fleet.backends[0].open  # closed idle ones
+            assert len(fleet.backends[0].seen) == seen and not fleet.backends[0].writers  # closed idle ones
             code, out, _ = await fleet.run_command("drain", "backend", "b0", "--wait", "--json")
             assert code == 0 and json.loads(out)["result"] == "done"  # already drained
             assert (await fleet.run_command("undrain", "backend", "b0"))[0] == 0
@@ -134,7 +134,7 @@
         async with running_fleet(tmp_path) as fleet:
             may_finish = asyncio.Event()
 
-            async def drip(writer: asyncio.StreamWriter, got: Asked) -> None:
+            async def drip(writer: asyncio.StreamWriter, got: HttpMessage) -> None:
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 300000\r\n\r\n" + b"x" * 100_000)
                 remaining = 200_000
                 while not may_finish.is_set():  # far beyond the timeout of an unanswered attempt
