--- a/embersill/aggregator/upstream.py
+++ b/embersill/aggregator/upstream.py
@@ -1,4 +1,7 @@
-"""The client of the next level: pipelined calls over a few connections, answered in the order written."""
+"""Client of the counter or of another aggregator: pipelines calls over a few connections.
+
+Replies arrive in the order in which the calls of their connection were written.
+"""
 
 from __future__ import annotations
 
@@ -12,97 +15,105 @@
 import hiredis
 
 from embersill.aggregator.messages import Forward, ForwardResult, ForwardStatus
-from embersill.aggregator.resp import add_text, read_result
+from embersill.aggregator.resp import encode_add, parse_result
 
-CONNECTIONS = 4  # names are dealt out over them: a call that waits holds up fewer others
-IDLE_LIMIT = 3.0  # seconds unused after which a connection is opened anew: counters close idle ones
+CONNECTION_COUNT = 4  # names are spread over them, so that a slow call delays fewer others
+MAX_IDLE_TIME = 3.0  # seconds after which an unused connection is replaced: counters close idle ones
 
-Ended = Callable[[Forward, ForwardResult], None]
+ResultCallback = Callable[[Forward, ForwardResult], None]
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamOptions:
-    """Where the next level is and how long it may take, in seconds."""
+    """The upstream's address and its timeouts in seconds."""
 
     host: str
     port: int
-    patience: float = 1.0  # of a call, from its writing: then its connection is given up
+    call_timeout: float = 1.0  # of the first unanswered call; then its connection is closed
     dial_timeout: float = 0.5
 
 
-class Connection(asyncio.Protocol):
-    """One connection, with the calls before it is up and those that wait for their answers."""
+class UpstreamConnection(asyncio.Protocol):
+    """One connection, with the calls not yet written and those not yet answered.
+
+    `on_result` is called once for each call.
+    """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, options: UpstreamOptions, ended: Ended) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, options: UpstreamOptions, on_result: ResultCallback
+    ) -> None:
         self.loop = loop
         self.options = options
-        self.ended = ended
+        self.on_result = on_result
         self.transport: asyncio.Transport | None = None
         self.unwritten: list[Forward] = []
-        self.written: deque[Forward] = deque()
+        self.unanswered: deque[Forward] = deque()
         self.reader = hiredis.Reader()
-        self.used_at = loop.time()
+        self.last_used_at = loop.time()
         self.closed = False
-        self.patience_timer: asyncio.TimerHandle | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
 
     def send(self, forward: Forward) -> None:
-        """Writes a call, now or once the connection is up."""
-        self.used_at = self.loop.time()
+        """Writes a call, now or once the connection is open."""
+        self.last_used_at = self.loop.time()
         if self.transport is None:
             self.unwritten.append(forward)
         else:
             self.write(forward)
 
     def write(self, forward: Forward) -> None:
+        """Writes a call to the open connection."""
         assert self.transport is not None
-        self.written.append(forward)
-        self.transport.write(add_text(forward.name, forward.amount, forward.life_ms))
-        if self.patience_timer is None:
-            self.watch_first()
-
-    def watch_first(self) -> None:
-        """Gives the connection up once the first call in line has waited too long."""
-        first = self.written[0].number
-        self.patience_timer = self.loop.call_later(self.options.patience, self.check_first, first)
-
-    def check_first(self, number: int) -> None:
-        self.patience_timer = None
-        if self.written and self.written[0].number == number:
+        self.unanswered.append(forward)
+        self.transport.write(encode_add(forward.name, forward.amount, forward.life_ms))
+        if self.timeout_timer is None:
+            self.start_timeout()
+
+    def start_timeout(self) -> None:
+        """Starts the timeout of the first unanswered call."""
+        first = self.unanswered[0].number
+        self.timeout_timer = self.loop.call_later(self.options.call_timeout, self.check_timeout, first)
+
+    def check_timeout(self, number: int) -> None:
+        """Closes the connection if call `number` is still unanswered, or times the next one."""
+        self.timeout_timer = None
+        if self.unanswered and self.unanswered[0].number == number:
             self.close()
-        elif self.written:
-            self.watch_first()
+        elif self.unanswered:
+            self.start_timeout()
 
-    def is_fit(self) -> bool:
-        """Whether the next call may go over this connection."""
+    def is_reusable(self) -> bool:
+        """Whether this connection can take another call: it is open or opening, and not idle too long."""
         if self.closed or self.transport is not None and self.transport.is_closing():
             return False
-        idle = not self.written and not self.unwritten
-        return not (idle and self.loop.time() - self.used_at >= IDLE_LIMIT)
+        idle = not self.unanswered and not self.unwritten
+        return not (idle and self.loop.time() - self.last_used_at >= MAX_IDLE_TIME)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's doesn't subclass it
         if self.closed:
             self.transport.abort()
             return
-        waiting, self.unwritten = self.unwritten, []
-        for forward in waiting:
+        unwritten, self.unwritten = self.unwritten, []
+        for forward in unwritten:
             self.write(forward)
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
         try:
             while not self.closed and (reply := self.reader.gets()) is not False:
-                self.take_reply(reply)
+                self.on_reply(reply)
         except hiredis.ProtocolError:
             self.close()
 
-    def take_reply(self, reply: object) -> None:
-        if not self.written:
-            return self.close()  # an answer to nothing: what follows can't be matched either
-        result = read_result(reply)
-        self.ended(self.written.popleft(), result)
+    def on_reply(self, reply: object) -> None:
+        """Matches a reply with the first unanswered call."""
+        if not self.unanswered:
+            return self.close()  # a surplus reply: later ones could not be matched with their calls
+        result = parse_result(reply)
+        self.on_result(self.unanswered.popleft(), result)
         if result.status is ForwardStatus.UNKNOWN:
-            self.close()  # a connection that gave no number is of no further use
+            self.close()  # the reply held no total, so later ones are not trusted
 
     def eof_received(self) -> bool:
         return False
@@ -111,49 +122,51 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the connection and tells of the calls left: the written ones may have been added."""
+        """Closes the connection and reports its remaining calls; the written ones may have been added."""
         if self.closed:
             return
         self.closed = True
-        if self.patience_timer is not None:
-            self.patience_timer.cancel()
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
         unwritten, self.unwritten = self.unwritten, []
         for forward in unwritten:
-            self.ended(forward, ForwardResult(ForwardStatus.NO_CONNECTION))
-        while self.written:
-            self.ended(self.written.popleft(), ForwardResult(ForwardStatus.UNKNOWN))
+            self.on_result(forward, ForwardResult(ForwardStatus.NO_CONNECTION))
+        while self.unanswered:
+            self.on_result(self.unanswered.popleft(), ForwardResult(ForwardStatus.UNKNOWN))
 
 
 class Upstream:
-    """Carries forwards to the next level; `ended` hears of each exactly once."""
+    """Sends forwards upstream; `on_result` is called exactly once for each."""
 
-    def __init__(self, options: UpstreamOptions, ended: Ended) -> None:
+    def __init__(self, options: UpstreamOptions, on_result: ResultCallback) -> None:
         self.options = options
-        self.ended = ended
+        self.on_result = on_result
         self.loop = asyncio.get_running_loop()
-        self.connections: list[Connection | None] = [None] * CONNECTIONS
-        self.dials: set[asyncio.Task[None]] = set()
+        self.connections: list[UpstreamConnection | None] = [None] * CONNECTION_COUNT
+        self.dial_tasks: set[asyncio.Task[None]] = set()
 
     def send(self, forward: Forward) -> None:
-        """Makes one call. Names of one customer share a connection."""
-        place = zlib.crc32(forward.name.rpartition(b".")[0] or forward.name) % CONNECTIONS
-        connection = self.connections[place]
-        if connection is None or not connection.is_fit():
+        """Sends a forward. Names of one customer share a connection."""
+        index = zlib.crc32(forward.name.rpartition(b".")[0] or forward.name) % CONNECTION_COUNT
+        connection = self.connections[index]
+        if connection is None or not connection.is_reusable():
             if connection is not None:
                 connection.close()
-            connection = self.connections[place] = self.connect()
+            connection = self.connections[index] = self.connect()
         connection.send(forward)
 
-    def connect(self) -> Connection:
-        connection = Connection(self.loop, self.options, self.ended)
+    def connect(self) -> UpstreamConnection:
+        """Starts to open a connection; calls can be sent to it at once."""
+        connection = UpstreamConnection(self.loop, self.options, self.on_result)
         task = self.loop.create_task(self.dial(connection))
-        self.dials.add(task)
-        task.add_done_callback(self.dials.discard)
+        self.dial_tasks.add(task)
+        task.add_done_callback(self.dial_tasks.discard)
         return connection
 
-    async def dial(self, connection: Connection) -> None:
+    async def dial(self, connection: UpstreamConnection) -> None:
+        """Opens a connection, or closes it on an error or after the dial timeout."""
         try:
             async with asyncio.timeout(self.options.dial_timeout):
                 await self.loop.create_connection(lambda: connection, self.options.host, self.options.port)
@@ -161,8 +174,8 @@
             connection.close()
 
     def close(self) -> None:
-        """Ends all connections."""
-        for task in self.dials:
+        """Closes all connections."""
+        for task in self.dial_tasks:
             task.cancel()
         for connection in self.connections:
             if connection is not None:
--- a/embersill/net/handover.py
+++ b/embersill/net/handover.py
@@ -1,8 +1,9 @@
-"""The hand-over between a running process and its successor, over a Unix socket and a file in $TMPDIR.
+"""Hand-over from a running process to its successor, over a Unix socket and a file in $TMPDIR.
 
-The successor asks once it could serve. It is given the listening socket, the decision module's state and, as
-they fall idle, the client connections; the other then only ends what it has. A lame duck's successor is one
-for the rest of its time. Each message is one packet of JSON, with a descriptor where it gives one away.
+The successor asks for the hand-over once it is able to serve. It receives the listening socket, the state of
+the decision module and each client connection as that falls idle; the predecessor only finishes its requests
+in flight. The successor of a lame duck is one for the remaining time. Each message is one packet of JSON,
+with the file descriptors that it passes.
 """
 
 from __future__ import annotations
@@ -19,68 +20,75 @@
 from dataclasses import asdict
 from typing import Any
 
-from embersill.net.clients import ClientConnection, ConnectionHistory, Front
+from embersill.net.clients import ClientConnection, ConnectionHistory, ClientServer
 from embersill.net.driver import Driver
 from embersill.net.lameduck import LameDuck
 
-VERSION = 1  # of the messages and the file: a process of another one is taken for none at all
-LINK, STATE = "embersill.link", "embersill.state"
-MOST_MESSAGE = 4096  # bytes: an id of a backend is the longest part of one
-GIVEN_WITHIN = 1.5  # seconds for the predecessor to give its listener: the successor's yes is due in 6
-DONE_WITHIN = 0.5  # seconds to wait for the other process over a ban: the console's answer is due in 1
-CALLED_AGAIN = 0.05  # seconds until a caller is accepted again after that has failed
-SAVE_AGAIN = 0.5  # seconds until the state is written again after that has failed
-TELL_EVERY = 0.25  # seconds between the old process's words on what it still holds
+VERSION = 1  # of the messages and the state file; what comes from another version is ignored
+SOCKET_NAME, STATE_FILE_NAME = "embersill.link", "embersill.state"
+MAX_MESSAGE_SIZE = 4096  # bytes: the id of a backend is the longest part of a message
+TAKE_OVER_TIMEOUT = 1.5  # seconds for the predecessor to hand over: the successor must be ready within 6
+CONFIRMATION_TIMEOUT = 0.5  # seconds for the peer to confirm a suspension: the console must answer within 1
+ACCEPT_RETRY_DELAY = 0.05  # seconds until the next try to accept a successor's connection
+SAVE_RETRY_DELAY = 0.5  # seconds until the next try to write the state file
+CONNECTION_COUNT_INTERVAL = 0.25  # seconds between the predecessor's reports of its open connections
 
 Message = dict[str, Any]
 
 log = logging.getLogger("embersill")
 
 
-class Link:
-    """One end of the talk between two processes."""
+class Channel:
+    """One end of the connection between a process and its predecessor or successor.
 
-    def __init__(self, sock: socket.socket, told: Callable[[Message, list[int]], None],
-                 ended: Callable[[], None]) -> None:
-        self.sock, self.told, self.ended = sock, told, ended
+    on_message: called with each message and the descriptors that came with it
+    on_closed: called once when the other end has closed
+    """
+
+    def __init__(self, sock: socket.socket, on_message: Callable[[Message, list[int]], None],
+                 on_closed: Callable[[], None]) -> None:
+        self.sock, self.on_message, self.on_closed = sock, on_message, on_closed
         self.loop = asyncio.get_running_loop()
         sock.setblocking(False)
-        self.loop.add_reader(sock, self.readable)
+        self.loop.add_reader(sock, self.on_readable)
 
     def send(self, message: Message, *descriptors: int) -> bool:
-        """False where the other end has no room now, or is gone: then nothing of it was sent."""
+        """Sends a message with descriptors.
+
+        Returns False, with nothing sent, if the buffer is full or the other process has exited.
+        """
         if self.sock.fileno() < 0:
             return False
         text = json.dumps({**message, "version": VERSION}).encode()
         try:
             socket.send_fds(self.sock, [text], descriptors)
-        except OSError as error:  # full, or too many descriptors under way; an end is told to the reader
+        except OSError as error:  # full, or too many descriptors in flight; on_readable notices a closed end
             log.debug("a message to the other process was not sent: %s", error)
             return False
         return True
 
-    def readable(self) -> None:
+    def on_readable(self) -> None:
         while self.sock.fileno() >= 0:
             try:
-                text, descriptors, _, _ = socket.recv_fds(self.sock, MOST_MESSAGE, 4)
+                text, descriptors, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_SIZE, 4)
             except BlockingIOError:
                 return
             except OSError as error:
-                log.info("the other process cannot be heard: %s", error)
+                log.info("reading from the other process failed: %s", error)
                 text, descriptors = b"", []
             if not text:
                 self.close()
-                return self.ended()
-            self.read(text, descriptors)
+                return self.on_closed()
+            self.handle_packet(text, descriptors)
 
-    def read(self, text: bytes, descriptors: list[int]) -> None:
+    def handle_packet(self, text: bytes, descriptors: list[int]) -> None:
         try:
             message = json.loads(text)
             if message["version"] != VERSION:
                 raise ValueError("another version")
-            self.told(message, descriptors)
+            self.on_message(message, descriptors)
         except (ValueError, LookupError, TypeError) as error:
-            log.warning("a message of another process is not understood: %s", error)
+            log.warning("invalid message from another process: %s", error)
             for descriptor in descriptors:
                 os.close(descriptor)
 
@@ -90,36 +98,39 @@
             self.sock.close()
 
 
-def open_folder(folder: str) -> int:
-    """By descriptor: a socket's path must be short, the folder's may be long; -1 where there is none."""
+def open_directory(path: str) -> int:
+    """Returns a descriptor of the directory, or -1 if it can't be opened.
+
+    The path of a Unix socket must be short, that of the directory may be long.
+    """
     try:
-        return os.open(folder, os.O_DIRECTORY)
+        return os.open(path, os.O_DIRECTORY)
     except OSError as error:
         log.warning("no hand-over, as $TMPDIR cannot be opened: %s", error)
         return -1
 
 
-def state_text(state: Message) -> str:
-    """With its version and a checksum."""
+def serialize_state(state: Message) -> str:
+    """Returns the state as text, with its version and a checksum."""
     text = json.dumps(state, separators=(",", ":"))
     return f"{VERSION} {zlib.crc32(text.encode())}\n{text}"
 
 
-def parse_state(whole: str) -> Message:
-    """What `state_text` made; ValueError where it is of another version, or not whole."""
-    head, _, text = whole.partition("\n")
+def parse_state(serialized: str) -> Message:
+    """Reads what `serialize_state` returned; raises ValueError if it is of another version or incomplete."""
+    head, _, text = serialized.partition("\n")
     if head.split() != [str(VERSION), str(zlib.crc32(text.encode()))]:
-        raise ValueError("of another version, or not whole")
+        raise ValueError("of another version, or incomplete")
     state = json.loads(text)
     return state if isinstance(state, dict) else {}
 
 
-def memory_file(text: str) -> int:
-    """The descriptor of a file in memory, which a full disk does not keep from being written; -1 for none."""
+def create_memory_file(text: str) -> int:
+    """Returns the descriptor of a file in memory, or -1. It can be written even if the disk is full."""
     try:
-        descriptor = os.memfd_create(STATE)
+        descriptor = os.memfd_create(STATE_FILE_NAME)
     except OSError as error:
-        log.warning("the state goes over by its file alone: %s", error)
+        log.warning("the state is handed over by the state file only: %s", error)
         return -1
     with open(os.dup(descriptor), "w", encoding="ascii") as file:
         file.write(text)
@@ -127,315 +138,324 @@
 
 
 def read_memory_file(descriptor: int) -> Message:
-    """What the process before has put there; the descriptor is closed."""
+    """Reads the state from the predecessor's memory file, {} if it is invalid, and closes the descriptor."""
     try:
         with open(descriptor, encoding="ascii") as file:
             file.seek(0)
             return parse_state(file.read())
     except (OSError, ValueError) as error:
-        log.warning("the state that was given is of no use: %s", error)
+        log.warning("the state from the predecessor is unusable: %s", error)
         return {}
 
 
 def read_seconds(message: Message, key: str) -> float | None:
-    """A span of time, of which a process of an older version may tell nothing."""
+    """Reads a duration; a process of an older version may not send it."""
     seconds = message.get(key)
     return None if seconds is None else float(seconds)
 
 
 def read_history(message: Message) -> ConnectionHistory:
-    """Of a client's connection; a process of an older version tells no time."""
+    """Reads a client connection's history; a process of an older version sends no `awaited_for`."""
     awaited_for = read_seconds(message, "awaited_for") or 0.0
     return ConnectionHistory(bool(message["asked"]), bool(message["served"]), awaited_for)
 
 
 class Handover:
-    """This process's part in upgrades: first as the successor of one that runs, then as a predecessor."""
-
-    def __init__(self, folder: str | None, driver: Driver, front: Front, duck: LameDuck) -> None:
-        self.driver, self.front, self.duck = driver, front, duck
-        self.console = ""  # where staff call this process
-        self.successor = ""  # and where they call the one that takes over, or that came while this one ended
+    """Part of this process in upgrades: as a successor, if another process runs, later as a predecessor."""
+
+    def __init__(
+        self, directory: str | None, driver: Driver, front: ClientServer, lame_duck: LameDuck
+    ) -> None:
+        self.driver, self.front, self.lame_duck = driver, front, lame_duck
+        self.console_address = ""  # of this process, as host:port
+        self.successor_console = ""  # console address of the successor, or of one that came too late
         self.loop = asyncio.get_running_loop()
-        self.folder = open_folder(folder) if folder else -1
-        self.link: Link | None = None
-        self.given: asyncio.Future[bool] = self.loop.create_future()
-        self.saving = False  # the state is written again in a moment
-        self.gave = False  # all but what is under way is the successor's
-        self.waiting: dict[str, asyncio.Future[None]] = {}  # bans that the other process has not confirmed
-        self.door: socket.socket | None = None
+        self.directory = open_directory(directory) if directory else -1  # descriptor
+        self.channel: Channel | None = None
+        self.take_over_result: asyncio.Future[bool] = self.loop.create_future()
+        self.save_scheduled = False  # a failed write of the state file will be repeated
+        self.handed_over = False  # this process only finishes its requests in flight
+        # by backend: suspensions, or ends of one, that the other process has not confirmed
+        self.pending_confirmations: dict[str, asyncio.Future[None]] = {}
+        self.listener: socket.socket | None = None
 
     def path(self, name: str) -> str:
-        return f"/proc/self/fd/{self.folder}/{name}"
+        return f"/proc/self/fd/{self.directory}/{name}"
 
     # as the successor
 
-    def find(self) -> bool:
-        """True if a process that could hand over runs already."""
-        if self.folder < 0:
+    def connect_to_predecessor(self) -> bool:
+        """Connects to a running process; returns False if there is none."""
+        if self.directory < 0:
             return False
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            sock.connect(self.path(LINK))
-        except OSError as error:  # none, or what one that was killed has left
+            sock.connect(self.path(SOCKET_NAME))
+        except OSError as error:  # there is no socket file, or only that of a killed process
             log.debug("no process to take over from: %s", error)
             sock.close()
             return False
-        self.link = Link(sock, self.told, self.ended)
+        self.channel = Channel(sock, self.on_message, self.on_peer_exited)
         return True
 
     async def take_over(self) -> bool:
-        """Asks for everything; False where the other process did not give it in time."""
-        if self.link is None or not self.link.send({"say": "take", "console": self.console}):
+        """Asks the predecessor to hand over; returns False if it did not in time."""
+        if self.channel is None or not self.channel.send({"say": "take", "console": self.console_address}):
             return False
         try:
-            async with asyncio.timeout(GIVEN_WITHIN):
-                return await self.given
+            async with asyncio.timeout(TAKE_OVER_TIMEOUT):
+                return await self.take_over_result
         except TimeoutError:
-            if self.link is not None:
-                self.link.close()
-                self.link = None
+            if self.channel is not None:
+                self.channel.close()
+                self.channel = None
             return False
 
-    def remember_bans(self) -> None:
-        """Where nobody hands over, bans are what must outlive the process before: they are by hand."""
-        self.driver.inherit({"banned": self.read_state().get("banned", [])})
+    def restore_suspensions(self) -> None:
+        """Restores the suspensions, made by operators, from the state file; used if there is no hand-over."""
+        self.driver.load_predecessor_state({"banned": self.read_state().get("banned", [])})
 
-    def accept_given(self, message: Message, descriptors: list[int]) -> None:
-        """Takes over by the listener's descriptor and, of newer versions, one of the state."""
-        self.limit_to(message)
+    def accept_hand_over(self, message: Message, descriptors: list[int]) -> None:
+        """Takes over with the descriptors of the listener and, from newer versions, of the state."""
+        self.set_peer_connections(message)
         state = read_memory_file(descriptors[1]) if len(descriptors) > 1 else {}
-        self.driver.inherit(self.by_own_clock(state or self.read_state()))
+        self.driver.load_predecessor_state(self.add_clock_offset(state or self.read_state()))
         self.front.listen_on(socket.socket(fileno=descriptors[0]))
-        left = read_seconds(message, "lame_duck")
-        if left is not None:
-            log.info("the process before was a lame duck: this one is for %.1f s more", left)
-            self.duck.set(left)
-        if not self.given.done():
-            self.given.set_result(True)
-
-    def by_own_clock(self, state: Message) -> Message:
-        """Adds how far this process's clock is ahead of the other's: the machine's may have been stepped.
-
-        Both know the same moment by the monotonic clock, which is one for all processes of a machine.
+        remaining = read_seconds(message, "lame_duck")
+        if remaining is not None:
+            log.info("the predecessor was a lame duck: this process is one for %.1f s more", remaining)
+            self.lame_duck.set(remaining)
+        if not self.take_over_result.done():
+            self.take_over_result.set_result(True)
+
+    def add_clock_offset(self, state: Message) -> Message:
+        """Adds to the state how far this process's clock is ahead of the predecessor's.
+
+        They differ if the machine's clock was stepped between the two starts. The monotonic clock, which all
+        processes of a machine share, relates them.
         """
         if "monotonic" not in state or "now" not in state:
             return state  # of an older version
-        then = float(state["now"]) + time.monotonic() - float(state["monotonic"])
-        return {**state, "clock_ahead": self.driver.clock() - then}
+        predecessor_now = float(state["now"]) + time.monotonic() - float(state["monotonic"])
+        return {**state, "clock_ahead": self.driver.clock() - predecessor_now}
 
-    def limit_to(self, message: Message) -> None:
-        """The two share the limits: what the other still holds is not to be had here."""
-        self.front.elsewhere, self.driver.pool.elsewhere = int(message["clients"]), int(message["backends"])
+    def set_peer_connections(self, message: Message) -> None:
+        """Counts the other process's open connections against the limits, which the two share."""
+        self.front.held_by_predecessor, self.driver.pool.held_by_predecessor = (
+            int(message["clients"]), int(message["backends"]))
 
     # as the predecessor
 
-    def open(self) -> None:
-        """Lets a successor call; the path is taken over at once from whatever stood there."""
-        if self.folder < 0:
+    def listen(self) -> None:
+        """Listens for a successor; the socket file atomically replaces an existing one."""
+        if self.directory < 0:
             return
-        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        new = self.path(f"{LINK}.{os.getpid()}")
+        listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        temporary = self.path(f"{SOCKET_NAME}.{os.getpid()}")
         try:
-            if os.path.lexists(new):
-                os.unlink(new)
-            door.bind(new)
-            door.listen(4)
-            os.rename(new, self.path(LINK))
+            if os.path.lexists(temporary):
+                os.unlink(temporary)
+            listener.bind(temporary)
+            listener.listen(4)
+            os.rename(temporary, self.path(SOCKET_NAME))
         except OSError as error:
             log.warning("no successor can take over from this process: %s", error)
-            return door.close()
-        door.setblocking(False)
-        self.door = door
-        self.listen_at_door()
+            return listener.close()
+        listener.setblocking(False)
+        self.listener = listener
+        self.watch_listener()
 
-    def listen_at_door(self) -> None:
-        if self.door is not None:
-            self.loop.add_reader(self.door, self.called)
+    def watch_listener(self) -> None:
+        if self.listener is not None:
+            self.loop.add_reader(self.listener, self.accept_successor)
 
-    def called(self) -> None:
-        assert self.door is not None
+    def accept_successor(self) -> None:
+        assert self.listener is not None
         try:
-            sock, _ = self.door.accept()
+            sock, _ = self.listener.accept()
         except OSError as error:
-            self.loop.remove_reader(self.door)  # a failure that lasts must not hold the loop
-            self.loop.call_later(CALLED_AGAIN, self.listen_at_door)
-            return log.warning("a caller for a hand-over was lost: %s", error)
-        if self.gave or (self.link is not None and self.link.sock.fileno() >= 0):
-            return sock.close()  # one at a time
-        self.link = Link(sock, self.told, self.ended)
-
-    def give(self, successor: str) -> None:
-        """All that a successor needs goes over: from here on this process only ends what it has."""
+            self.loop.remove_reader(self.listener)  # a lasting failure must not keep the loop busy
+            self.loop.call_later(ACCEPT_RETRY_DELAY, self.watch_listener)
+            return log.warning("a successor's connection was not accepted: %s", error)
+        if self.handed_over or (self.channel is not None and self.channel.sock.fileno() >= 0):
+            return sock.close()  # only one successor at a time
+        self.channel = Channel(sock, self.on_message, self.on_peer_exited)
+
+    def hand_over(self, successor_console: str) -> None:
+        """Gives the successor all that it needs; from then on this process only finishes its requests."""
         listener = self.front.listener
-        if self.link is None or self.gave:
+        if self.channel is None or self.handed_over:
             return
-        self.successor = successor
-        if self.front.stopping or listener is None:  # it takes what still comes, and ends by itself
-            self.link.send({"say": "closing"})
+        self.successor_console = successor_console
+        if self.front.stopping or listener is None:  # this process accepts the last clients itself, and exits
+            self.channel.send({"say": "closing"})
             return
-        self.gave = True
+        self.handed_over = True
         self.front.pause_accepting()
-        self.driver.pool.keep_none()
+        self.driver.pool.stop_keeping_idle()
         state = {**self.driver.hand_over(), "monotonic": time.monotonic()}
-        self.write_state(state)  # an older version reads the file; it may not be written, as on a full disk
-        given = {"say": "given", **self.holds(), "lame_duck": self.duck.left()}
-        memory = memory_file(state_text(state))
-        sent = self.link.send(given, listener.fileno(), *([] if memory < 0 else [memory]))
-        if memory >= 0:
-            os.close(memory)
+        self.write_state(state)  # for older versions; may fail, for example on a full disk
+        message = {"say": "given", **self.connection_counts(), "lame_duck": self.lame_duck.remaining()}
+        memory_file = create_memory_file(serialize_state(state))
+        sent = self.channel.send(message, listener.fileno(), *([] if memory_file < 0 else [memory_file]))
+        if memory_file >= 0:
+            os.close(memory_file)
         if not sent:
-            return self.take_back()
-        self.duck.hand_on()
+            return self.resume_serving()
+        self.lame_duck.stop_timer()
         log.info("handed over to a successor; %d requests are still open here", self.driver.unanswered)
-        self.front.successor = self.move
-        self.front.move_idle()
-        self.loop.call_later(TELL_EVERY, self.tell_holds)
+        self.front.send_to_successor = self.move_connection
+        self.front.hand_over_idle()
+        self.loop.call_later(CONNECTION_COUNT_INTERVAL, self.send_connection_counts)
 
-    def move(self, connection: ClientConnection) -> bool:
-        """Gives a client's connection away; False where that can't be done now."""
-        if self.link is None or connection.transport is None:
+    def move_connection(self, connection: ClientConnection) -> bool:
+        """Passes a client connection to the successor; returns False if that is impossible now."""
+        if self.channel is None or connection.transport is None:
             return False
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        return self.link.send({"say": "client", **asdict(connection.history())}, descriptor)
+        return self.channel.send({"say": "client", **asdict(connection.history())}, descriptor)
 
-    def holds(self) -> Message:
+    def connection_counts(self) -> Message:
         pool, clients = self.driver.pool, len(self.front.connections)
-        return {"clients": clients, "backends": len(pool.links)}
-
-    def tell_holds(self) -> None:
-        if self.gave and self.link is not None:
-            self.link.send({"say": "holds", **self.holds()})
-            self.loop.call_later(TELL_EVERY, self.tell_holds)
-
-    def take_back(self) -> None:
-        """The successor went before this process was told to stop: it serves on, with what credit is left."""
-        log.warning("the successor is gone: this process serves on")
-        self.gave, self.front.successor, self.successor = False, None, ""
-        self.driver.pool.keeping = True
-        self.driver.take_back()
+        return {"clients": clients, "backends": len(pool.connections)}
+
+    def send_connection_counts(self) -> None:
+        if self.handed_over and self.channel is not None:
+            self.channel.send({"say": "holds", **self.connection_counts()})
+            self.loop.call_later(CONNECTION_COUNT_INTERVAL, self.send_connection_counts)
+
+    def resume_serving(self) -> None:
+        """Serves on with the remaining units, as the successor exited before this process was stopped."""
+        log.warning("the successor has exited: this process serves on")
+        self.handed_over, self.front.send_to_successor, self.successor_console = False, None, ""
+        self.driver.pool.keeps_idle = True
+        self.driver.cancel_hand_over()
         self.front.resume_accepting()
-        self.front.stay()
-        self.shut()
-        self.open()  # the path may be the successor's by now
-        self.duck.go_on()
+        self.front.cancel_hand_over()
+        self.stop_listening()
+        self.listen()  # the successor may have replaced the socket file
+        self.lame_duck.start_timer()
 
     # both
 
-    def told(self, message: Message, descriptors: list[int]) -> None:
+    def on_message(self, message: Message, descriptors: list[int]) -> None:
         match message["say"]:
             case "take":
-                self.give(str(message.get("console", "")))
+                self.hand_over(str(message.get("console", "")))
             case "given":
-                self.accept_given(message, descriptors)
+                self.accept_hand_over(message, descriptors)
             case "closing":
-                if not self.given.done():
-                    self.given.set_result(False)
+                if not self.take_over_result.done():
+                    self.take_over_result.set_result(False)
             case "lame duck":
-                self.duck.set(read_seconds(message, "left"))
-                self.duck.hand_on()
+                self.lame_duck.set(read_seconds(message, "left"))
+                self.lame_duck.stop_timer()
             case "client":
-                self.front.adopt(descriptors[0], read_history(message))
+                self.front.adopt_connection(descriptors[0], read_history(message))
             case "holds":
-                self.limit_to(message)
+                self.set_peer_connections(message)
             case "suspend":
                 self.driver.suspend(str(message["id"]))
-                self.confirm(message)
+                self.send_confirmation(message)
             case "restore":
                 self.driver.restore(str(message["id"]))
-                self.confirm(message)
+                self.send_confirmation(message)
             case "did":
-                waiting = self.waiting.pop(str(message["id"]), None)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(None)
+                confirmation = self.pending_confirmations.pop(str(message["id"]), None)
+                if confirmation is not None and not confirmation.done():
+                    confirmation.set_result(None)
             case other:
                 raise ValueError(f"unknown message {other!r}")
 
-    def tell_duck(self) -> None:
-        """What staff said here also holds for the process before, should it have to serve on."""
-        if self.link is not None:
-            self.link.send({"say": "lame duck", "left": self.duck.left()})
+    def send_lame_duck(self) -> None:
+        """Passes the lame duck state on to the predecessor, which may have to serve on."""
+        if self.channel is not None:
+            self.channel.send({"say": "lame duck", "left": self.lame_duck.remaining()})
 
-    def confirm(self, message: Message) -> None:
-        self.save_bans()
-        if self.link is not None:
-            self.link.send({"say": "did", "id": message["id"]})
+    def send_confirmation(self, message: Message) -> None:
+        self.save_suspensions()
+        if self.channel is not None:
+            self.channel.send({"say": "did", "id": message["id"]})
 
-    def save_bans(self) -> None:
-        if not self.gave:  # the file is the successor's from then on
-            self.write_state({"banned": sorted(self.driver.gateway.banned)})
+    def save_suspensions(self) -> None:
+        if not self.handed_over:  # after that the state file belongs to the successor
+            self.write_state({"banned": sorted(self.driver.gateway.suspended)})
 
-    async def banned(self, say: str, backend: str) -> None:
-        """A ban or its end made here also binds the other process, before anybody hears of it."""
-        self.save_bans()
-        if self.link is None or not self.link.send({"say": say, "id": backend}):
+    async def share_suspension(self, say: str, backend: str) -> None:
+        """Applies a suspension or its end to the other process too, before the operator gets an answer.
+
+        say: type of the message, "suspend" or "restore"
+        """
+        self.save_suspensions()
+        if self.channel is None or not self.channel.send({"say": say, "id": backend}):
             return
-        waiting = self.waiting.setdefault(backend, self.loop.create_future())
+        confirmation = self.pending_confirmations.setdefault(backend, self.loop.create_future())
         try:
-            async with asyncio.timeout(DONE_WITHIN):
-                await asyncio.shield(waiting)
+            async with asyncio.timeout(CONFIRMATION_TIMEOUT):
+                await asyncio.shield(confirmation)
         except TimeoutError:
-            log.warning("the other process did not confirm the call for %s", backend)
-
-    def ended(self) -> None:
-        """The other process has gone."""
-        self.link = None
-        for waiting in self.waiting.values():
-            if not waiting.done():
-                waiting.set_result(None)
-        self.waiting.clear()
-        if self.gave and not self.front.stopping:
-            return self.take_back()
-        if not self.given.done():
-            self.given.set_result(False)
-        self.front.elsewhere = self.driver.pool.elsewhere = 0
-        self.driver.alone()
+            log.warning("the other process did not confirm the command for %s", backend)
+
+    def on_peer_exited(self) -> None:
+        """Serves on, or takes over the limits, as the other process has exited."""
+        self.channel = None
+        for confirmation in self.pending_confirmations.values():
+            if not confirmation.done():
+                confirmation.set_result(None)
+        self.pending_confirmations.clear()
+        if self.handed_over and not self.front.stopping:
+            return self.resume_serving()
+        if not self.take_over_result.done():
+            self.take_over_result.set_result(False)
+        self.front.held_by_predecessor = self.driver.pool.held_by_predecessor = 0
+        self.driver.on_predecessor_ended()
 
     def write_state(self, state: Message) -> None:
-        """Whole or not at all, with its version and a checksum."""
-        if self.folder < 0:
+        """Replaces the state file atomically."""
+        if self.directory < 0:
             return
-        new = self.path(f"{STATE}.{os.getpid()}")
+        temporary = self.path(f"{STATE_FILE_NAME}.{os.getpid()}")
         try:
-            with open(new, "w", encoding="ascii") as file:
-                file.write(state_text(state))
-            os.replace(new, self.path(STATE))
+            with open(temporary, "w", encoding="ascii") as file:
+                file.write(serialize_state(state))
+            os.replace(temporary, self.path(STATE_FILE_NAME))
         except OSError as error:
             log.warning("the state was not written: %s", error)
             with suppress(OSError):
-                os.unlink(new)
-            if not (self.gave or self.saving):  # bans that staff were told of are owed to the next process
-                self.saving = True
-                self.loop.call_later(SAVE_AGAIN, self.save_again)
+                os.unlink(temporary)
+            # The next process must know the suspensions that an operator's command has confirmed.
+            if not (self.handed_over or self.save_scheduled):
+                self.save_scheduled = True
+                self.loop.call_later(SAVE_RETRY_DELAY, self.save_again)
 
     def save_again(self) -> None:
-        self.saving = False
-        if self.folder >= 0:
-            self.save_bans()
+        self.save_scheduled = False
+        if self.directory >= 0:
+            self.save_suspensions()
 
     def read_state(self) -> Message:
-        """What was written last; nothing where it is of another version, or not whole."""
-        if self.folder < 0:
+        """Reads the state file; returns {} if it is missing, of another version or incomplete."""
+        if self.directory < 0:
             return {}
         try:
-            with open(self.path(STATE), encoding="ascii") as file:
+            with open(self.path(STATE_FILE_NAME), encoding="ascii") as file:
                 return parse_state(file.read())
         except FileNotFoundError:
             return {}
         except (OSError, ValueError) as error:
-            log.warning("the state that was left is of no use: %s", error)
+            log.warning("the state file is unusable: %s", error)
             return {}
 
-    def shut(self) -> None:
-        if self.door is not None:
-            self.loop.remove_reader(self.door)
-            self.door.close()
-            self.door = None
+    def stop_listening(self) -> None:
+        if self.listener is not None:
+            self.loop.remove_reader(self.listener)
+            self.listener.close()
+            self.listener = None
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close()
-        self.shut()
-        if self.folder >= 0:
-            os.close(self.folder)
-            self.folder = -1
+        if self.channel is not None:
+            self.channel.close()
+        self.stop_listening()
+        if self.directory >= 0:
+            os.close(self.directory)
+            self.directory = -1
--- a/embersill/net/pool.py
+++ b/embersill/net/pool.py
@@ -1,7 +1,7 @@
-"""The connections to backends: which there are, in what state, and who waits for one.
+"""The pool of connections to backends: their states, and the attempts that wait for one.
 
-Free of sockets and of the loop: a Link carries out what the pool tells it, and tells what became of it. Which
-backend gets an attempt, and how many connections it is worth, the decision module says.
+It uses neither sockets nor the event loop: a PooledConnection carries out what the pool asks for, and reports
+what became of it. The decision module chooses the backend of an attempt and the size of each backend's pool.
 """
 
 from __future__ import annotations
@@ -16,442 +16,484 @@
 
 from embersill.interface import Outcome, PoolSettings
 
-SHORTER, LONGER = 0.5, 1.25  # times an idle time that broke, or that was borne: what is tried next
-LEAST_IDLE = 0.02  # seconds for which one is kept in any case: work that comes back to back needs them
-AT_ONCE = 0.01  # seconds after the write in which a kept connection that was dead already breaks
-ALIVE_FOR = 2.0  # seconds since it was heard from for which a backend counts as alive: a failed open is then
-# its full table's; dials end within a fraction of that
-USUAL_MARGIN = PoolSettings().margin
-MARGIN_PART = 0.25  # of the backends' idle limit, at most, that the usual margin before it may take
-AGE_SPREAD = 0.2  # of the max age, either way, by which connections that were opened together end apart
+# factors on an idle time that a connection did not survive, or did: the limit that is tried next
+IDLE_DECREASE, IDLE_INCREASE = 0.5, 1.25
+MIN_IDLE_TIME = 0.02  # seconds for which an idle connection is kept in any case, for back-to-back attempts
+STALE_BREAK_WITHIN = 0.01  # seconds after a write within which a connection breaks that was dead before it
+# seconds for which a backend counts as alive after its last answer: a failed open then means that its table
+# of connections is full. Opens time out within a fraction of this
+ALIVE_FOR = 2.0
+DEFAULT_MARGIN = PoolSettings().margin
+MAX_MARGIN_SHARE = 0.25  # of the backends' idle limit that the default margin before it may take
+AGE_SPREAD = 0.2  # of max_age, either way: connections that were opened together are not closed together
 
 Address = tuple[str, int]
 
 
-class State(Enum):
+class ConnectionState(Enum):
+    """What a connection is doing."""
+
     OPENING = "opening"
     IDLE = "idle"
     IN_USE = "in use"
-    RETIRING = "retiring"  # in use, and closed after its answer
+    RETIRING = "retiring"  # in use, and to be closed after its answer
     CLOSED = "closed"
 
 
-class Failure(Enum):
-    """Why a connection did not come up."""
+class OpenFailure(Enum):
+    """Why a connection could not be opened."""
 
     REFUSED = "refused"
-    SILENT = "silent"
-    LOCAL = "no descriptor"  # here: it tells nothing of the backend
+    TIMED_OUT = "silent"
+    LOCAL = "no descriptor"  # the fault is in this process or host, not at the backend
 
 
 class Waiter(Protocol):
-    """An attempt, as the pool sees it."""
+    """An attempt, as far as the pool is concerned."""
 
     backend: str
     until: float
     sent_at: float
 
-    def lost(self, outcome: Outcome) -> None: ...
+    def lost(self, outcome: Outcome) -> None:
+        """Ends an attempt that gets no connection."""
+        ...
+
 
+class PooledConnection:
+    """One connection, as far as the pool is concerned.
 
-class Link:
-    """One connection, as the pool sees it. `ended` of the pool is called once it holds no descriptor."""
+    It calls the pool's `connection_closed` once it holds no descriptor any more.
+    """
 
     def __init__(self, backend: str) -> None:
-        self.backend, self.state = backend, State.OPENING
+        self.backend, self.state = backend, ConnectionState.OPENING
         self.idle_since = 0.0
-        self.idled = 0.0  # seconds it had stood idle when it was last taken
+        self.idle_time = 0.0  # seconds that it had been idle when it was last taken
         self.reused = False
-        self.resting = False  # its answer is there, and it may not be used yet
+        self.in_reuse_delay = False  # answered, but not to be used again yet
         self.retire_at = float("inf")
 
-    def carry(self, attempt: Waiter, wait: float) -> None:
+    def send(self, attempt: Waiter, wait: float) -> None:
+        """Writes an attempt; `wait`: seconds that the backend has for it."""
         raise NotImplementedError
 
-    def shut(self) -> None:
-        """Closes it, or stops its opening."""
+    def abort(self) -> None:
+        """Closes the connection, or cancels its opening."""
         raise NotImplementedError
 
-    def is_fit(self) -> bool:
-        """True while it is up and holds nothing unread."""
+    def is_reusable(self) -> bool:
+        """True while it is open and has no unread bytes."""
         raise NotImplementedError
 
 
-Opener = Callable[[str, Address], Link]
+Opener = Callable[[str, Address], PooledConnection]
 
 
 @dataclass(slots=True, eq=False)
-class Place:
-    """All that concerns one backend."""
+class BackendPool:
+    """The connections to one backend and the attempts that wait for one."""
 
     address: Address | None = None
-    started: float | None = None
-    idle: list[Link] = field(default_factory=list)  # the one used last stands last
-    opening: list[Link] = field(default_factory=list)
-    used: set[Link] = field(default_factory=set)
-    resting: int = 0  # of these, that will be free in a moment
+    started_at: float | None = None
+    idle: list[PooledConnection] = field(default_factory=list)  # the one used last is at the end
+    opening: list[PooledConnection] = field(default_factory=list)
+    in_use: set[PooledConnection] = field(default_factory=set)
+    in_reuse_delay: int = 0  # number of those in use that will be free in a moment
     waiting: deque[Waiter] = field(default_factory=deque)
-    borne: float = float("inf")  # idle time that connections there were found to bear
-    heard: float = float("-inf")  # when an answer last came from there
-    keep: float = float("inf")  # idle ones, at the most
-    most: float = float("inf")  # of all kinds
-    idle_for: float = float("inf")  # seconds that one is kept idle
+    proven_idle_time: float = float("inf")  # seconds of idleness that connections there survived
+    last_response_at: float = float("-inf")  # when the last answer arrived
+    max_idle: float = float("inf")  # limit on idle connections
+    max_connections: float = float("inf")  # limit on connections in all states
+    max_idle_time: float = float("inf")  # seconds until an idle connection is closed
 
     def size(self) -> int:
-        return len(self.idle) + len(self.opening) + len(self.used)
+        return len(self.idle) + len(self.opening) + len(self.in_use)
 
 
 class Pool:
-    """All connections to backends, at most `most` of them."""
+    """All connections to backends, at most `max_connections` of them."""
 
     def __init__(
-        self, clock: Callable[[], float], opener: Opener, most: int, keepalive: float,
+        self, clock: Callable[[], float], opener: Opener, max_connections: int, keepalive: float,
         settings: PoolSettings, seed: int = 0,
     ) -> None:
-        """`keepalive`: seconds after which a backend closes an idle connection at the latest."""
-        self.clock, self.opener, self.most, self.keepalive = clock, opener, most, keepalive
+        """`keepalive`: seconds after which backends close idle connections."""
+        self.clock, self.opener, self.max_connections, self.keepalive = (
+            clock, opener, max_connections, keepalive)
         self.settings, self.random = settings, Random(seed)
-        self.places: dict[str, Place] = {}
-        self.links: set[Link] = set()  # all that may hold a descriptor
-        self.idle_links: dict[Link, Place] = {}  # the one that has been idle for longest stands first
-        self.resting = 0  # in use, and free in a moment
-        self.opening = 0  # opens under way
-        self.short: dict[str, None] = {}  # backends whose line waits for leave to open, first come
-        self.elsewhere = 0  # connections of the process before, which count under the same bound
-        self.keeping = True  # connections are kept for the next attempt
+        self.backends: dict[str, BackendPool] = {}
+        self.connections: set[PooledConnection] = set()  # all that may hold a descriptor
+        self.idle_connections: dict[PooledConnection, BackendPool] = {}  # the one idle for longest is first
+        self.in_reuse_delay = 0  # number of those in use that will be free in a moment
+        self.opening = 0  # number being opened
+        self.backends_waiting: dict[str, None] = {}  # backends that may not open one yet, first come first
+        self.held_by_predecessor = 0  # the predecessor's connections, which count under the same limit
+        self.keeps_idle = True  # idle connections are kept for further attempts
         self.figures: Tally[str] = Tally()
-        self.open_failed: Callable[[str, int], None] = lambda backend, up: None
-        self.closed_for: Callable[[str, str], None] = lambda backend, reason: None  # told of every close here
+        # called where an open failed although the backend is alive, with the number of open connections to it
+        self.on_open_failed: Callable[[str, int], None] = lambda backend, open_connections: None
+        # called with the backend and the reason of every connection that the pool closes
+        self.on_close: Callable[[str, str], None] = lambda backend, reason: None
 
-    def idle_limit(self, place: Place) -> float:
+    def idle_limit(self, pool: BackendPool) -> float:
+        """Seconds for which connections to a backend may be idle."""
         margin = self.settings.margin
-        if margin == USUAL_MARGIN:  # staff who name another one know their backends' limit
-            margin = min(margin, MARGIN_PART * self.keepalive)
-        return max(min(self.keepalive - margin, place.idle_for), LEAST_IDLE)
+        if margin == DEFAULT_MARGIN:  # operators who configure another one know their backends' limit
+            margin = min(margin, MAX_MARGIN_SHARE * self.keepalive)
+        return max(min(self.keepalive - margin, pool.max_idle_time), MIN_IDLE_TIME)
 
-    # what the list and the module say
+    # instructions from the backend list and the decision module
 
-    def set_address(self, backend: str, address: Address, started: float | None = None) -> None:
-        """Where a backend listens; connections to where it was, or to before its restart, are of no use."""
-        place = self.places.setdefault(backend, Place())
-        if (place.address, place.started) == (address, started):
+    def set_address(self, backend: str, address: Address, started_at: float | None = None) -> None:
+        """Sets where a backend listens; connections to its previous address or process are closed."""
+        pool = self.backends.setdefault(backend, BackendPool())
+        if (pool.address, pool.started_at) == (address, started_at):
             return
-        self.clear(place, "moved")
-        place.address, place.started = address, started
-        place.borne = place.most = place.keep = place.idle_for = float("inf")
-        place.heard = float("-inf")
-        self.open_for(backend, place)
+        self.close_or_retire_all(pool, "moved")
+        pool.address, pool.started_at = address, started_at
+        pool.proven_idle_time = pool.max_connections = pool.max_idle = pool.max_idle_time = float("inf")
+        pool.last_response_at = float("-inf")
+        self.open_for(backend, pool)
 
     def retire(self, backend: str) -> None:
-        """For one that drains or is gone: nothing is written to it from now on, not even what waits.
+        """For a draining or removed backend: nothing is written to it from now on, not even waiting attempts.
 
-        Attempts that are out go on to their ends, and their connections are closed after them.
+        Attempts in flight go on to their ends, and their connections are closed after them.
         """
-        place = self.places.get(backend)
-        if place is not None:
-            place.address = None
-            self.hang_up(backend)
-            self.tidy(backend, place)
-
-    def hang_up(self, backend: str) -> None:
-        """Closes what is idle to a backend or being opened, and ends what waits for it."""
-        place = self.places.get(backend)
-        if place is not None:
-            self.clear(place, "hung up")
-            while place.waiting:
-                place.waiting.popleft().lost(Outcome.NO_CONNECTION)
-
-    def forget_others(self, known: Iterable[str]) -> None:
-        """After a whole list: what it does not name is gone."""
+        pool = self.backends.get(backend)
+        if pool is not None:
+            pool.address = None
+            self.close_unused(backend)
+            self.drop_unused(backend, pool)
+
+    def close_unused(self, backend: str) -> None:
+        """Closes a backend's connections that carry no attempt, and ends the attempts that wait for one."""
+        pool = self.backends.get(backend)
+        if pool is not None:
+            self.close_or_retire_all(pool, "hung up")
+            while pool.waiting:
+                pool.waiting.popleft().lost(Outcome.NO_CONNECTION)
+
+    def retire_unlisted(self, known: Iterable[str]) -> None:
+        """After a full list: retires the backends that it does not name."""
         known = set(known)
-        for backend in [b for b in self.places if b not in known]:
+        for backend in [b for b in self.backends if b not in known]:
             self.retire(backend)
 
-    def set_size(self, backend: str, keep: float, most: float, idle_for: float) -> None:
-        place = self.places.get(backend)
-        if place is not None:
-            place.keep, place.most, place.idle_for = keep, most, idle_for
-            while len(place.idle) > keep:
-                self.close(place, place.idle[0], "surplus")
-            self.open_for(backend, place)
-
-    def warm(self, backend: str, many: int) -> None:
-        """Opens ahead, until so many are idle or being opened."""
-        place = self.places.get(backend)
-        while place is not None and len(place.idle) + len(place.opening) < many and self.may_open(place):
+    def set_size(self, backend: str, max_idle: float, max_connections: float, max_idle_time: float) -> None:
+        """Limits the idle connections, all connections, and the seconds of idleness."""
+        pool = self.backends.get(backend)
+        if pool is not None:
+            pool.max_idle, pool.max_connections, pool.max_idle_time = (
+                max_idle, max_connections, max_idle_time)
+            while len(pool.idle) > max_idle:
+                self.close_unassigned(pool, pool.idle[0], "surplus")
+            self.open_for(backend, pool)
+
+    def preconnect(self, backend: str, count: int) -> None:
+        """Opens connections until `count` of them are idle or being opened."""
+        pool = self.backends.get(backend)
+        while pool is not None and len(pool.idle) + len(pool.opening) < count and self.may_open(pool):
             self.figures["pool warmed"] += 1
-            self.open(backend, place)
+            self.open(backend, pool)
 
-    def keep_none(self) -> None:
-        """From now on connections are closed after their attempts: a successor needs the descriptors."""
-        self.keeping = False
-        for link, place in list(self.idle_links.items()):
-            self.close(place, link, "handed over")
+    def stop_keeping_idle(self) -> None:
+        """Closes connections after their attempts from now on: a successor needs the descriptors."""
+        self.keeps_idle = False
+        for connection, pool in list(self.idle_connections.items()):
+            self.close_unassigned(pool, connection, "handed over")
 
-    def drop_idle(self, backend: str) -> None:
-        """After an attempt that got no answer: a machine that is cut off leaves its connections silent."""
-        place = self.places.get(backend)
-        while place is not None and place.idle:
-            self.close(place, place.idle[0], "silent")
+    def close_idle(self, backend: str) -> None:
+        """After an attempt timed out: connections to a machine that lost its network stay open but silent."""
+        pool = self.backends.get(backend)
+        while pool is not None and pool.idle:
+            self.close_unassigned(pool, pool.idle[0], "silent")
 
     # attempts
 
     def start(self, attempt: Waiter) -> None:
-        """Gives an attempt its connection, now or once one is there."""
-        place = self.places.get(attempt.backend)
-        if place is None or place.address is None:
+        """Assigns a connection to an attempt, now or once there is one."""
+        pool = self.backends.get(attempt.backend)
+        if pool is None or pool.address is None:
             return attempt.lost(Outcome.NO_CONNECTION)
-        link = self.pick(place)
-        if link is not None:
-            return self.use(place, link, attempt)
-        place.waiting.append(attempt)
-        self.open_for(attempt.backend, place)
-        return self.leave_alone(place)
+        connection = self.take_reusable(pool)
+        if connection is not None:
+            return self.assign(pool, connection, attempt)
+        pool.waiting.append(attempt)
+        self.open_for(attempt.backend, pool)
+        return self.fail_unservable(pool)
 
     def withdraw(self, attempt: Waiter) -> None:
-        """An attempt waits no more. What is being opened goes on: it serves the next, or is kept."""
-        place = self.places.get(attempt.backend)
-        if place is not None and attempt in place.waiting:
-            place.waiting.remove(attempt)
-            if not place.waiting:
-                self.short.pop(attempt.backend, None)
-
-    def why_waiting(self, attempt: Waiter) -> Outcome:
-        """For one whose time ran out in line: whether its backend did not come up, or there was no room."""
-        place = self.places.get(attempt.backend)
-        return Outcome.NO_CONNECTION if place is not None and place.opening else Outcome.NOT_SENT
-
-    def pick(self, place: Place) -> Link | None:
+        """Removes a waiting attempt; connections being opened go on, for other attempts or as idle ones."""
+        pool = self.backends.get(attempt.backend)
+        if pool is not None and attempt in pool.waiting:
+            pool.waiting.remove(attempt)
+            if not pool.waiting:
+                self.backends_waiting.pop(attempt.backend, None)
+
+    def timeout_outcome(self, attempt: Waiter) -> Outcome:
+        """The outcome of an attempt that timed out in the queue.
+
+        NO_CONNECTION while connections to its backend are being opened, else NOT_SENT: no slot was free.
+        """
+        pool = self.backends.get(attempt.backend)
+        return Outcome.NO_CONNECTION if pool is not None and pool.opening else Outcome.NOT_SENT
+
+    def take_reusable(self, pool: BackendPool) -> PooledConnection | None:
+        """The idle connection used last; those found too old or unusable on the way are closed."""
         now = self.clock()
-        while place.idle:
-            link = place.idle[-1]
-            link.idled = now - link.idle_since
-            if link.idled >= min(place.borne, self.idle_limit(place)) or now >= link.retire_at:
-                self.close(place, link, "aged")
-            elif not link.is_fit():
-                self.close(place, link, "stale")
+        while pool.idle:
+            connection = pool.idle[-1]
+            connection.idle_time = now - connection.idle_since
+            if (
+                connection.idle_time >= min(pool.proven_idle_time, self.idle_limit(pool))
+                or now >= connection.retire_at
+            ):
+                self.close_unassigned(pool, connection, "aged")
+            elif not connection.is_reusable():
+                self.close_unassigned(pool, connection, "stale")
             else:
-                self.take_idle(place, link)
-                return link
+                self.remove_idle(pool, connection)
+                return connection
         return None
 
-    def use(self, place: Place, link: Link, attempt: Waiter) -> None:
+    def assign(self, pool: BackendPool, connection: PooledConnection, attempt: Waiter) -> None:
+        """Sends an attempt on a connection."""
         now = self.clock()
-        self.figures["pool reused"] += link.reused
-        link.state = State.IN_USE
-        place.used.add(link)
-        link.carry(attempt, max(attempt.until - now, 0.001))
-        link.reused = True
+        self.figures["pool reused"] += connection.reused
+        connection.state = ConnectionState.IN_USE
+        pool.in_use.add(connection)
+        connection.send(attempt, max(attempt.until - now, 0.001))
+        connection.reused = True
 
     # opening
 
-    def open_for(self, backend: str, place: Place) -> None:
-        """As many opens as there are attempts in line, as far as the bounds allow."""
-        while len(place.opening) + place.resting < len(place.waiting) and self.may_open(place):
-            self.open(backend, place)
-        if len(place.opening) + place.resting < len(place.waiting) and self.is_busy(place):
-            self.short[backend] = None
+    def open_for(self, backend: str, pool: BackendPool) -> None:
+        """Opens a connection for each waiting attempt that needs one, as far as the limits allow."""
+        while len(pool.opening) + pool.in_reuse_delay < len(pool.waiting) and self.may_open(pool):
+            self.open(backend, pool)
+        if len(pool.opening) + pool.in_reuse_delay < len(pool.waiting) and self.at_opening_limit(pool):
+            self.backends_waiting[backend] = None
         else:
-            self.short.pop(backend, None)
+            self.backends_waiting.pop(backend, None)
 
-    def may_open(self, place: Place) -> bool:
-        if place.address is None or self.is_busy(place) or place.size() >= place.most:
+    def may_open(self, pool: BackendPool) -> bool:
+        """True where one more may be opened, if need be after closing an idle one of any backend."""
+        if pool.address is None or self.at_opening_limit(pool) or pool.size() >= pool.max_connections:
             return False
-        return len(self.links) + self.elsewhere < self.most or self.evict()
+        return len(self.connections) + self.held_by_predecessor < self.max_connections or self.evict()
 
-    def is_busy(self, place: Place) -> bool:
-        """True while the bounds on opens at once are reached: that ends by itself, and soon."""
-        return self.opening >= self.settings.opening or len(place.opening) >= self.settings.opening_each
+    def at_opening_limit(self, pool: BackendPool) -> bool:
+        """True while as many opens are under way as are allowed at once, which does not last long."""
+        return self.opening >= self.settings.opening or len(pool.opening) >= self.settings.opening_each
 
     def evict(self) -> bool:
-        """The connection that has been idle for longest makes way; False where there is none."""
-        link = next(iter(self.idle_links), None)
-        if link is None:
+        """Closes the connection that has been idle for longest; False where none is idle."""
+        connection = next(iter(self.idle_connections), None)
+        if connection is None:
             return False
-        self.close(self.idle_links[link], link, "made way")
+        self.close_unassigned(self.idle_connections[connection], connection, "made way")
         return True
 
-    def take_idle(self, place: Place, link: Link) -> None:
-        """It is idle no more."""
-        place.idle.remove(link)
-        del self.idle_links[link]
+    def remove_idle(self, pool: BackendPool, connection: PooledConnection) -> None:
+        """Removes a connection from the idle ones."""
+        pool.idle.remove(connection)
+        del self.idle_connections[connection]
 
-    def open(self, backend: str, place: Place) -> None:
-        assert place.address is not None
-        link = self.opener(backend, place.address)
-        place.opening.append(link)
+    def open(self, backend: str, pool: BackendPool) -> None:
+        """Starts to open a connection."""
+        assert pool.address is not None
+        connection = self.opener(backend, pool.address)
+        pool.opening.append(connection)
         self.opening += 1
-        self.links.add(link)
+        self.connections.add(connection)
 
-    def opened(self, place: Place, link: Link) -> None:
-        """Its opening is over, one way or another."""
-        place.opening.remove(link)
+    def remove_opening(self, pool: BackendPool, connection: PooledConnection) -> None:
+        """Removes a connection from those being opened, after success or failure."""
+        pool.opening.remove(connection)
         self.opening -= 1
 
-    def came_up(self, link: Link) -> None:
-        place = self.places.get(link.backend)
-        if place is None or link not in place.opening:
-            return link.shut()
-        self.opened(place, link)
+    def opening_succeeded(self, connection: PooledConnection) -> None:
+        """A connection is open: it is assigned or kept."""
+        pool = self.backends.get(connection.backend)
+        if pool is None or connection not in pool.opening:
+            return connection.abort()
+        self.remove_opening(pool, connection)
         self.figures["pool opened"] += 1
         if self.settings.max_age > 0:
             spread = 1.0 + AGE_SPREAD * (2.0 * self.random.random() - 1.0)
-            link.retire_at = self.clock() + spread * self.settings.max_age
-        self.give(place, link)
-        return self.go_on()
+            connection.retire_at = self.clock() + spread * self.settings.max_age
+        self.assign_or_keep(pool, connection)
+        return self.open_for_waiting()
 
-    def give(self, place: Place, link: Link) -> None:
-        """To the first in line, or to what is kept."""
+    def assign_or_keep(self, pool: BackendPool, connection: PooledConnection) -> None:
+        """Assigns a free connection to the attempt that waits longest, or keeps it idle."""
         now = self.clock()
-        if place.waiting:
-            attempt = place.waiting.popleft()
+        if pool.waiting:
+            attempt = pool.waiting.popleft()
             self.figures["pool waited"] += 1
             self.figures["pool waited ms"] += round(1000 * (now - attempt.sent_at))
-            link.idled = 0.0
-            return self.use(place, link, attempt)
-        link.state, link.idle_since = State.IDLE, now
-        place.idle.append(link)
-        self.idle_links[link] = place
-        while len(place.idle) > place.keep or place.idle and not self.keeping:
-            self.close(place, place.idle[0], "surplus")
+            connection.idle_time = 0.0
+            return self.assign(pool, connection, attempt)
+        connection.state, connection.idle_since = ConnectionState.IDLE, now
+        pool.idle.append(connection)
+        self.idle_connections[connection] = pool
+        while len(pool.idle) > pool.max_idle or pool.idle and not self.keeps_idle:
+            self.close_unassigned(pool, pool.idle[0], "surplus")
         return None
 
-    def failed(self, link: Link, failure: Failure) -> None:
-        """It did not come up. One attempt goes without, unless enough other opens are under way."""
-        place = self.places.get(link.backend)
-        if place is None or link not in place.opening:
-            return None  # nobody waits for it: it was stopped
-        self.opened(place, link)
-        link.state = State.CLOSED
+    def opening_failed(self, connection: PooledConnection, failure: OpenFailure) -> None:
+        """An open failed: the first waiting attempt fails too, unless enough other opens are under way."""
+        pool = self.backends.get(connection.backend)
+        if pool is None or connection not in pool.opening:
+            return None  # it was cancelled: no attempt waits for it
+        self.remove_opening(pool, connection)
+        connection.state = ConnectionState.CLOSED
         self.figures[f"pool open {failure.value}"] += 1
-        if failure is Failure.LOCAL and place.waiting and self.evict():
-            return self.open_for(link.backend, place)
-        up = len(place.idle) + len(place.used)
-        if failure is not Failure.LOCAL and up and self.clock() - place.heard < ALIVE_FOR:
-            self.open_failed(link.backend, up)
-        if len(place.waiting) > len(place.opening):
-            local = failure is Failure.LOCAL
-            place.waiting.popleft().lost(Outcome.NOT_SENT if local else Outcome.NO_CONNECTION)
-        self.open_for(link.backend, place)
-        return self.go_on()
-
-    def go_on(self) -> None:
-        """There may be leave to open for those who wait for it, first come."""
-        for backend in list(self.short):
-            place = self.places.get(backend)
-            if place is not None:
-                self.open_for(backend, place)
-
-    # what connections tell
-
-    def rest(self, link: Link) -> None:
-        """After a whole, clean answer: it will be put back in a moment, if nothing more comes on it."""
-        place = self.places.get(link.backend)
-        if place is not None and link in place.used:
-            link.resting = True
-            place.resting += 1
-            self.resting += 1
-
-    def rested(self, place: Place, link: Link) -> None:
-        place.resting -= link.resting
-        self.resting -= link.resting
-        link.resting = False
-
-    def put_back(self, link: Link) -> None:
-        """After a whole, clean answer: free for the next, unless it is to go."""
-        place = self.places.get(link.backend)
-        if place is None or link not in place.used:
-            return link.shut()
-        self.rested(place, link)
-        place.used.discard(link)
+        if failure is OpenFailure.LOCAL and pool.waiting and self.evict():
+            return self.open_for(connection.backend, pool)
+        open_connections = len(pool.idle) + len(pool.in_use)
+        if (
+            failure is not OpenFailure.LOCAL and open_connections
+            and self.clock() - pool.last_response_at < ALIVE_FOR
+        ):
+            self.on_open_failed(connection.backend, open_connections)
+        if len(pool.waiting) > len(pool.opening):
+            local = failure is OpenFailure.LOCAL
+            pool.waiting.popleft().lost(Outcome.NOT_SENT if local else Outcome.NO_CONNECTION)
+        self.open_for(connection.backend, pool)
+        return self.open_for_waiting()
+
+    def open_for_waiting(self) -> None:
+        """Opens connections for the backends that wait for permission to open, in their order."""
+        for backend in list(self.backends_waiting):
+            pool = self.backends.get(backend)
+            if pool is not None:
+                self.open_for(backend, pool)
+
+    # reports of connections
+
+    def start_reuse_delay(self, connection: PooledConnection) -> None:
+        """After a complete and correct answer: counts the connection as free in a moment."""
+        pool = self.backends.get(connection.backend)
+        if pool is not None and connection in pool.in_use:
+            connection.in_reuse_delay = True
+            pool.in_reuse_delay += 1
+            self.in_reuse_delay += 1
+
+    def end_reuse_delay(self, pool: BackendPool, connection: PooledConnection) -> None:
+        """Counts the connection no longer as free in a moment."""
+        pool.in_reuse_delay -= connection.in_reuse_delay
+        self.in_reuse_delay -= connection.in_reuse_delay
+        connection.in_reuse_delay = False
+
+    def release(self, connection: PooledConnection) -> None:
+        """After a complete and correct answer: makes the connection available again, or closes it."""
+        pool = self.backends.get(connection.backend)
+        if pool is None or connection not in pool.in_use:
+            return connection.abort()
+        self.end_reuse_delay(pool, connection)
+        pool.in_use.discard(connection)
         now = self.clock()
-        if link.state is State.RETIRING or not self.keeping and not place.waiting:
-            return self.end(link, "retired")
-        if now >= link.retire_at:
-            return self.end(link, "aged")
-        if place.waiting and not link.is_fit():
-            return self.end(link, "stale")
-        return self.give(place, link)
-
-    def answered(self, link: Link) -> None:
-        """A whole answer came on it, after all the time that it had stood idle."""
-        place = self.places.get(link.backend)
-        if place is not None:
-            place.heard = self.clock()
-            if link.idled > SHORTER * place.borne:
-                place.borne = min(LONGER * place.borne, self.idle_limit(place))
-
-    def broke(self, link: Link, sent_at: float) -> None:
-        """It broke under an attempt: a kept one that was dead already tells that they are kept too long."""
-        place = self.places.get(link.backend)
-        self.figures["pool broke reused" if link.reused and link.idled else "pool broke new"] += 1
-        if place is not None and link.idled and self.clock() - sent_at < AT_ONCE:
-            place.borne = max(SHORTER * min(link.idled, place.borne, self.idle_limit(place)), LEAST_IDLE)
-
-    def ended(self, link: Link) -> None:
-        """It holds no descriptor any more, whoever closed it."""
-        self.links.discard(link)
-        place = self.places.get(link.backend)
-        if place is not None:
-            if link in place.idle:
+        if connection.state is ConnectionState.RETIRING or not self.keeps_idle and not pool.waiting:
+            return self.close_connection(connection, "retired")
+        if now >= connection.retire_at:
+            return self.close_connection(connection, "aged")
+        if pool.waiting and not connection.is_reusable():
+            return self.close_connection(connection, "stale")
+        return self.assign_or_keep(pool, connection)
+
+    def answer_received(self, connection: PooledConnection) -> None:
+        """A complete answer arrived: the connection survived the time for which it had been idle."""
+        pool = self.backends.get(connection.backend)
+        if pool is not None:
+            pool.last_response_at = self.clock()
+            if connection.idle_time > IDLE_DECREASE * pool.proven_idle_time:
+                pool.proven_idle_time = min(IDLE_INCREASE * pool.proven_idle_time, self.idle_limit(pool))
+
+    def connection_broke(self, connection: PooledConnection, sent_at: float) -> None:
+        """A connection broke under an attempt.
+
+        Where it was a reused one and broke at once, it had been dead before: idle ones are kept too long.
+        """
+        pool = self.backends.get(connection.backend)
+        self.figures[
+            "pool broke reused" if connection.reused and connection.idle_time else "pool broke new"] += 1
+        if pool is not None and connection.idle_time and self.clock() - sent_at < STALE_BREAK_WITHIN:
+            pool.proven_idle_time = max(
+                IDLE_DECREASE * min(connection.idle_time, pool.proven_idle_time, self.idle_limit(pool)),
+                MIN_IDLE_TIME)
+
+    def connection_closed(self, connection: PooledConnection) -> None:
+        """A connection holds no descriptor any more, whichever side closed it."""
+        self.connections.discard(connection)
+        pool = self.backends.get(connection.backend)
+        if pool is not None:
+            if connection in pool.idle:
                 self.figures["pool closed idle"] += 1
-                self.take_idle(place, link)
-            self.rested(place, link)
-            place.used.discard(link)
-            if link in place.opening:
-                self.opened(place, link)
-            self.tidy(link.backend, place)
-            if place.waiting:
-                self.open_for(link.backend, place)
-                self.leave_alone(place)
-        link.state = State.CLOSED
-        self.go_on()
-
-    def leave_alone(self, place: Place) -> None:
-        """Who waits where nothing can come any more, as there is no room to open, goes without."""
-        while place.waiting and not (place.opening or place.used or self.is_busy(place)):
+                self.remove_idle(pool, connection)
+            self.end_reuse_delay(pool, connection)
+            pool.in_use.discard(connection)
+            if connection in pool.opening:
+                self.remove_opening(pool, connection)
+            self.drop_unused(connection.backend, pool)
+            if pool.waiting:
+                self.open_for(connection.backend, pool)
+                self.fail_unservable(pool)
+        connection.state = ConnectionState.CLOSED
+        self.open_for_waiting()
+
+    def fail_unservable(self, pool: BackendPool) -> None:
+        """Ends the waiting attempts of a backend without connections, where none may be opened."""
+        while pool.waiting and not (pool.opening or pool.in_use or self.at_opening_limit(pool)):
             self.figures["pool no room"] += 1
-            place.waiting.popleft().lost(Outcome.NOT_SENT)
+            pool.waiting.popleft().lost(Outcome.NOT_SENT)
 
-    # ends
+    # closing
 
-    def close(self, place: Place, link: Link, why: str) -> None:
-        """Closes what no attempt is on."""
-        if link in place.idle:
-            self.take_idle(place, link)
+    def close_unassigned(self, pool: BackendPool, connection: PooledConnection, why: str) -> None:
+        """Closes a connection that carries no attempt."""
+        if connection in pool.idle:
+            self.remove_idle(pool, connection)
         else:
-            self.opened(place, link)
-        self.end(link, why)
+            self.remove_opening(pool, connection)
+        self.close_connection(connection, why)
 
-    def end(self, link: Link, why: str) -> None:
+    def close_connection(self, connection: PooledConnection, why: str) -> None:
+        """Counts, reports and closes; `why` is part of a figure's name."""
         self.figures[f"pool {why}"] += 1
-        self.closed_for(link.backend, why)
-        link.state = State.CLOSED
-        link.shut()
-
-    def clear(self, place: Place, why: str) -> None:
-        for link in [*place.idle, *place.opening]:
-            self.close(place, link, why)
-        for link in place.used:
-            link.state = State.RETIRING
-
-    def tidy(self, backend: str, place: Place) -> None:
-        if place.address is None and not place.size() and not place.waiting:
-            self.places.pop(backend, None)
-            self.short.pop(backend, None)
-
-    def sweep(self) -> None:
-        """Closes what has been idle for long, or is old."""
+        self.on_close(connection.backend, why)
+        connection.state = ConnectionState.CLOSED
+        connection.abort()
+
+    def close_or_retire_all(self, pool: BackendPool, why: str) -> None:
+        """Closes the unused connections, and marks those in use for closing after their answers."""
+        for connection in [*pool.idle, *pool.opening]:
+            self.close_unassigned(pool, connection, why)
+        for connection in pool.in_use:
+            connection.state = ConnectionState.RETIRING
+
+    def drop_unused(self, backend: str, pool: BackendPool) -> None:
+        """Frees the state of a retired backend that has no connections and no waiting attempts."""
+        if pool.address is None and not pool.size() and not pool.waiting:
+            self.backends.pop(backend, None)
+            self.backends_waiting.pop(backend, None)
+
+    def close_expired(self) -> None:
+        """Closes connections that have been idle for too long or have reached their age limit."""
         now = self.clock()
-        for link, place in list(self.idle_links.items()):
-            if link.idle_since < now - self.idle_limit(place) or now >= link.retire_at:
-                self.close(place, link, "aged")
+        for connection, pool in list(self.idle_connections.items()):
+            if connection.idle_since < now - self.idle_limit(pool) or now >= connection.retire_at:
+                self.close_unassigned(pool, connection, "aged")
 
     def close_all(self) -> None:
-        for place in self.places.values():
-            self.clear(place, "at the end")
-            for link in list(place.used):
-                link.shut()
-
-    def idle(self) -> int:
-        return len(self.idle_links) + self.resting
+        """Closes all connections, also those in use."""
+        for pool in self.backends.values():
+            self.close_or_retire_all(pool, "at the end")
+            for connection in list(pool.in_use):
+                connection.abort()
+
+    def idle_count(self) -> int:
+        """Connections that are idle or will be in a moment."""
+        return len(self.idle_connections) + self.in_reuse_delay
--- a/embersill/ops/__main__.py
+++ b/embersill/ops/__main__.py
@@ -1,4 +1,4 @@
-"""Operators' commands: drain, undrain and status, over the fleet that a file describes."""
+"""The operators' command line: drain, undrain and status of the fleet that a file describes."""
 
 from __future__ import annotations
 
@@ -12,176 +12,207 @@
 import time
 from typing import Any
 
-from embersill.ops.fleet import BadFleet, Fleet, read_fleet
-from embersill.ops.guards import GATEWAY, List
-from embersill.ops.procedure import Ask, Drain, Ended, Failed, Job, Procedure, ReadList, Result, Undrain
-from embersill.ops.wire import Wire
-
-TIMEOUT = 120.0  # seconds; the longest work is some ten, and a machine has several processes
-
-
-def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(
+from embersill.ops.fleet import Fleet, InvalidFleetFile, read_fleet
+from embersill.ops.guards import GATEWAY_PREFIX, InstanceList
+from embersill.ops.procedure import (
+    CallFailed,
+    ConsoleCommand,
+    Drain,
+    Job,
+    Procedure,
+    ProcedureEnded,
+    ReadList,
+    Result,
+    Undrain,
+)
+from embersill.ops.wire import FleetClient
+
+DEFAULT_TIMEOUT = 120.0  # seconds; the longest requests take some ten, and a machine has several processes
+
+
+def build_parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
         prog="python -m embersill.ops",
         description="Takes parts of the fleet out of service and puts them back.",
         epilog="Exits with 0: done, 1: failed, 2: bad use, 3: refused by a guard, 4: timed out, 5: no fleet.",
     )
-    made.add_argument(
-        "--fleet", type=pathlib.Path, required=True, metavar="FILE", help="what the fleet is, in TOML"
+    parser.add_argument(
+        "--fleet",
+        type=pathlib.Path,
+        required=True,
+        metavar="FILE",
+        help="the TOML file that describes the fleet",
     )
-    commands = made.add_subparsers(dest="command", required=True, metavar="drain | undrain | status")
-    for name, what in (
-        ("drain", "take out of service, losing nothing"),
+    commands = parser.add_subparsers(dest="command", required=True, metavar="drain | undrain | status")
+    for name, description in (
+        ("drain", "take out of service without losing requests"),
         ("undrain", "put back into service"),
     ):
-        command = commands.add_parser(name, help=what, description=what)
+        command = commands.add_parser(name, help=description, description=description)
         command.add_argument("kind", choices=("backend", "gateway", "machine"))
         command.add_argument("target", metavar="ID", help="the backend's id, the gateway's or machine's name")
-        command.add_argument("--dry-run", action="store_true", help="check and tell, change nothing")
+        command.add_argument("--dry-run", action="store_true", help="check the guards and change nothing")
         command.add_argument("--json", action="store_true", help="one JSON object on standard output")
-        command.add_argument("--by", type=remark, default=who(), help="who does it (default %(default)s)")
+        command.add_argument(
+            "--by",
+            type=parse_remark,
+            default=current_user(),
+            help="the operator's name (default %(default)s)",
+        )
         command.add_argument(
             "--state",
             type=pathlib.Path,
             metavar="DIR",
-            default=state_folder(),
-            help="where the last words of gateways are kept (default %(default)s)",
+            default=default_state_directory(),
+            help="directory for the last answers of gateways (default %(default)s)",
         )
         if name == "drain":
-            command.add_argument("--wait", action="store_true", help="until it is empty")
+            command.add_argument("--wait", action="store_true", help="wait until it is empty")
             command.add_argument(
                 "--timeout",
-                type=seconds,
-                default=TIMEOUT,
+                type=parse_timeout,
+                default=DEFAULT_TIMEOUT,
                 metavar="S",
-                help="of --wait; all stays as it is then (default %(default)s)",
+                help="of --wait, in seconds; the drain goes on after it (default %(default)s)",
             )
-            command.add_argument("--force", action="store_true", help="also where a guard refuses")
-            command.add_argument("--reason", type=remark, default="", help="kept with the mark")
-    status = commands.add_parser("status", help="what serves, drains, or can't be asked")
+            command.add_argument("--force", action="store_true", help="drain even if a guard refuses")
+            command.add_argument("--reason", type=parse_remark, default="", help="stored with the drain mark")
+    status = commands.add_parser("status", help="show what serves, drains, or can't be asked")
     status.add_argument("--json", action="store_true", help="one JSON object on standard output")
-    return made
+    return parser
 
 
-def remark(text: str) -> str:
-    """What goes with a mark: the list service takes no more than this."""
+def parse_remark(text: str) -> str:
+    """Checks a text that is stored with a drain mark against the limits of the list service."""
     if len(text) > 150 or not text.isprintable():
-        raise argparse.ArgumentTypeError(f"{text[:40]!r} is no line of up to 150 printable characters")
+        raise argparse.ArgumentTypeError(f"{text[:40]!r} is not a line of up to 150 printable characters")
     return text
 
 
-def who() -> str:
+def current_user() -> str:
+    """Returns the user's name, or the user id if it has none."""
     try:
         return getpass.getuser()
-    except (KeyError, OSError):  # a user without a name, as in a bare container
+    except (KeyError, OSError):  # as in a container without an entry for the user
         return f"uid {os.getuid()}"
 
 
-def seconds(text: str) -> float:
+def parse_timeout(text: str) -> float:
+    """Parses a timeout in seconds, at most a day."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 < value <= 86_400:
-        raise argparse.ArgumentTypeError(f"{text!r} is no number of seconds up to a day")
+        raise argparse.ArgumentTypeError(f"{text!r} is not a number of seconds between 0 and 86400")
     return value
 
 
-def state_folder() -> pathlib.Path:
+def default_state_directory() -> pathlib.Path:
     base = os.environ.get("XDG_STATE_HOME") or pathlib.Path.home() / ".local" / "state"
     return pathlib.Path(base) / "embersill-ops"
 
 
-def targets(fleet: Fleet, kind: str, target: str) -> tuple[list[str], list[str]]:
-    """The backends and gateways that are meant; Ended where there are none."""
+def resolve_target(fleet: Fleet, kind: str, target: str) -> tuple[list[str], list[str]]:
+    """Returns the ids of the target's backends and gateways; raises ProcedureEnded if there are none."""
     if kind == "backend":
         return [target], []
     if kind == "gateway":
-        if fleet.gateway(target) is None:
-            raise Ended(Result.BAD_USE, f"the fleet file has no gateway {target}")
+        if fleet.find_gateway(target) is None:
+            raise ProcedureEnded(Result.BAD_USE, f"the fleet file has no gateway {target}")
         return [], [target]
     backends = [b.name for b in fleet.backends if b.machine == target]
     gateways = [g.name for g in fleet.gateways if g.machine == target]
     if not backends and not gateways:
-        raise Ended(Result.BAD_USE, f"the fleet file has nothing on machine {target}")
+        raise ProcedureEnded(Result.BAD_USE, f"the fleet file has nothing on machine {target}")
     return backends, gateways
 
 
-class Memory:
-    """The last words of gateways, in a file that is whole at any moment."""
+class StateFile:
+    """The state that procedures resume from: gateways' last answers, in a file that is replaced atomically.
+
+    Raises ProcedureEnded if the file exists but cannot be read.
+    """
 
-    def __init__(self, folder: pathlib.Path) -> None:
-        self.path = folder / "gateways.json"
-        self.words: dict[str, Any] = {}
+    def __init__(self, directory: pathlib.Path) -> None:
+        self.path = directory / "gateways.json"
+        self.state: dict[str, Any] = {}
         try:
-            self.words = json.loads(self.path.read_text())
+            self.state = json.loads(self.path.read_text())
         except FileNotFoundError:
             pass
         except (OSError, ValueError) as error:
-            raise Ended(Result.BAD_USE, f"{self.path}: {error}") from error
-        self.stored = json.dumps(self.words)
+            raise ProcedureEnded(Result.BAD_USE, f"{self.path}: {error}") from error
+        self.stored_text = json.dumps(self.state)
 
     def store(self) -> None:
-        text = json.dumps(self.words)
-        if text == self.stored:
+        """Writes the state if it has changed."""
+        text = json.dumps(self.state)
+        if text == self.stored_text:
             return
         self.path.parent.mkdir(parents=True, exist_ok=True)
         new = self.path.with_suffix(".new")
         new.write_text(text)
         os.replace(new, self.path)
-        self.stored = text
+        self.stored_text = text
 
 
-async def carry_out(procedure: Procedure, wire: Wire, store: Memory) -> None:
-    """Plays a procedure to its end; Ended where that is not simply done."""
+async def execute(procedure: Procedure, client: FleetClient, state_file: StateFile) -> None:
+    """Runs a procedure, storing its state after each round; raises ProcedureEnded if it does not complete."""
     rounds = procedure.run()
     try:
         calls = next(rounds)
         while True:
-            results = await wire.all(calls)
+            results = await client.perform_all(calls)
             try:
                 calls = rounds.send((time.monotonic(), results))
             finally:
-                store.store()
+                state_file.store()
     except StopIteration:
         return
 
 
-async def change(told: argparse.Namespace, fleet: Fleet) -> tuple[Result, list[str], list[str]]:
-    said: list[str] = []
+async def run_command(options: argparse.Namespace, fleet: Fleet) -> tuple[Result, list[str], list[str]]:
+    """Runs drain or undrain; returns the result, its reasons and the lines reported to standard error."""
+    lines: list[str] = []
 
-    def say(text: str) -> None:
-        if not said or said[-1] != text:
-            said.append(text)
+    def report(text: str) -> None:
+        if not lines or lines[-1] != text:
+            lines.append(text)
             print(text, file=sys.stderr, flush=True)
 
     try:
-        backends, gateways = targets(fleet, told.kind, told.target)
-        memory = Memory(told.state)
-        job = Job(fleet, backends, gateways, dry_run=told.dry_run, say=say, memory=memory.words)
+        backends, gateways = resolve_target(fleet, options.kind, options.target)
+        state_file = StateFile(options.state)
+        job = Job(
+            fleet, backends, gateways, dry_run=options.dry_run, report=report, saved_state=state_file.state
+        )
         reason = ""
-        if told.command == "drain":
-            job.force, job.wait, job.timeout = told.force, told.wait, told.timeout
-            reason = f"{'forced: ' if told.force else ''}{told.reason}"
-        kind = Drain if told.command == "drain" else Undrain
-        async with Wire(fleet, told.by, reason) as wire:
-            await carry_out(kind(job, time.monotonic()), wire, memory)
-    except Ended as end:
-        return end.result, end.why, said
-    return Result.DONE, [], said
-
-
-async def status(fleet: Fleet) -> tuple[Result, dict[str, Any]]:
-    async with Wire(fleet, "", "") as wire:
-        listed, *told = await wire.all([ReadList(), *(Ask(g.name, "PHASE") for g in fleet.gateways)])
-    marks = listed.marks if isinstance(listed, List) else {}
+        if options.command == "drain":
+            job.force, job.wait, job.timeout = options.force, options.wait, options.timeout
+            reason = f"{'forced: ' if options.force else ''}{options.reason}"
+        procedure_class = Drain if options.command == "drain" else Undrain
+        async with FleetClient(fleet, options.by, reason) as client:
+            await execute(procedure_class(job, time.monotonic()), client, state_file)
+    except ProcedureEnded as end:
+        return end.result, end.reasons, lines
+    return Result.DONE, [], lines
+
+
+async def read_status(fleet: Fleet) -> tuple[Result, dict[str, Any]]:
+    """Asks the list service and all gateways; returns the object that `status --json` prints."""
+    async with FleetClient(fleet, "", "") as client:
+        listed, *answers = await client.perform_all(
+            [ReadList(), *(ConsoleCommand(g.name, "PHASE") for g in fleet.gateways)]
+        )
+    marks = listed.drain_marks if isinstance(listed, InstanceList) else {}
     gateways = {
-        g.name: {"machine": g.machine, "marked_by": marks.get(GATEWAY + g.name, (None, 0))[0]}
-        | ({"unreachable": w.why} if isinstance(w, Failed) else w)
-        for g, w in zip(fleet.gateways, told, strict=True)
+        g.name: {"machine": g.machine, "marked_by": marks.get(GATEWAY_PREFIX + g.name, (None, 0))[0]}
+        | ({"unreachable": answer.reason} if isinstance(answer, CallFailed) else answer)
+        for g, answer in zip(fleet.gateways, answers, strict=True)
     }
-    if isinstance(listed, Failed):
-        return Result.UNREACHABLE, {"list": listed.why, "gateways": gateways, "backends": {}}
+    if isinstance(listed, CallFailed):
+        return Result.UNREACHABLE, {"list": listed.reason, "gateways": gateways, "backends": {}}
     machines = {b.name: b.machine for b in fleet.backends}
     backends = {
         id: {
@@ -196,38 +227,39 @@
     return Result.DONE, {"list": listed.generation, "gateways": gateways, "backends": backends}
 
 
-def show(told: dict[str, Any]) -> None:
-    print(f"list      {told['list']}")
-    for name, g in told["gateways"].items():
+def print_status(status: dict[str, Any]) -> None:
+    print(f"list      {status['list']}")
+    for name, g in status["gateways"].items():
         state = (
             f"can't be asked: {g['unreachable']}" if "unreachable" in g else f"{g['phase']}, {g['open']} open"
         )
         successor = f", goes on at {g['successor']}" if "successor" in g else ""
-        print(f"gateway   {name}  {state}{successor}{by(g)}")
-    for name, b in told["backends"].items():
-        print(f"backend   {name}  {b['lifecycle']}, zone {b['zone'] or '-'}, cell {b['cell']}{by(b)}")
+        print(f"gateway   {name}  {state}{successor}{marked_by(g)}")
+    for name, b in status["backends"].items():
+        print(f"backend   {name}  {b['lifecycle']}, zone {b['zone'] or '-'}, cell {b['cell']}{marked_by(b)}")
 
 
-def by(thing: dict[str, Any]) -> str:
-    return f", marked by {thing['marked_by']}" if thing["marked_by"] else ""
+def marked_by(member: dict[str, Any]) -> str:
+    """Returns the end of a status line: who set the drain mark, empty without a mark."""
+    return f", marked by {member['marked_by']}" if member["marked_by"] else ""
 
 
 def main() -> int:
-    told = parser().parse_args()
+    options = build_parser().parse_args()
     try:
-        fleet = read_fleet(told.fleet)
-    except BadFleet as error:
+        fleet = read_fleet(options.fleet)
+    except InvalidFleetFile as error:
         print(f"embersill.ops: {error}", file=sys.stderr)
         return Result.BAD_USE.value
-    if told.command == "status":
-        result, found = asyncio.run(status(fleet))
-        print(json.dumps(found, indent=2)) if told.json else show(found)
+    if options.command == "status":
+        result, status = asyncio.run(read_status(fleet))
+        print(json.dumps(status, indent=2)) if options.json else print_status(status)
         return result.value
-    result, why, said = asyncio.run(change(told, fleet))
-    if told.json:
-        print(json.dumps({"result": result.name.lower(), "why": why, "said": said}))
-    for line in why:
-        print(f"embersill.ops: {result.name.lower().replace('_', ' ')}: {line}", file=sys.stderr)
+    result, reasons, lines = asyncio.run(run_command(options, fleet))
+    if options.json:
+        print(json.dumps({"result": result.name.lower(), "why": reasons, "said": lines}))
+    for reason in reasons:
+        print(f"embersill.ops: {result.name.lower().replace('_', ' ')}: {reason}", file=sys.stderr)
     return result.value
 
 
--- a/embersill/state_transfer.py
+++ b/embersill/state_transfer.py
@@ -1,6 +1,7 @@
-"""What one process of a gateway hands to its successor, as JSON-ready data, and how that goes on with it.
+"""State that one process of a gateway hands over to its successor, as JSON-ready data, and its restoration.
 
-Nothing is decided here: `embersill/control.py` says when state is taken and restored.
+The state may come from an older or newer version of the program. `embersill.control` decides when state is
+exported and restored. All moments and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -11,115 +12,142 @@
 if TYPE_CHECKING:
     from embersill.control import Gateway, Server, Throttle
 
-GATEWAY_STATE = ("born", "fleet_fails", "retry_credit", "passed", "judged", "limit", "flight", "quiet_until",
-                 "count_fails", "counted_part")
-THROTTLE_STATE = ("share", "level", "stamp", "cap", "second", "asked", "last_asked", "own", "total",
-                  "read_until", "fresh_until", "uncounted", "open", "first_gateway")
-SERVER_STATE = ("started", "bad", "touched", "limit", "flight", "calls")
-# of these, the moments by the clock of the process that hands over, which may be another than the successor's
+# key of the transferred state, which other versions read and write: attribute
+GATEWAY_STATE = {
+    "born": "started_at", "fleet_fails": "fleet_failure_rate", "retry_credit": "retry_credit",
+    "passed": "admitted_fraction", "judged": "last_adjusted_at", "limit": "limit", "flight": "in_flight",
+    "quiet_until": "counter_backoff_until", "count_fails": "counter_failures",
+    "counted_part": "counted_fraction",
+}
+THROTTLE_STATE = {
+    "share": "share", "level": "quota_level", "stamp": "refilled_at", "cap": "ceiling_level",
+    "second": "demand_period", "asked": "period_demand", "last_asked": "last_period_demand",
+    "own": "local_demand", "total": "total_demand", "read_until": "reading_valid_until",
+    "fresh_until": "reading_fresh_until", "uncounted": "unreported_units", "open": "in_flight",
+    "first_gateway": "first_gateway",
+}
+SERVER_STATE = {
+    "started": "started_at", "bad": "failure_score", "touched": "decayed_at", "limit": "limit",
+    "flight": "in_flight", "calls": "cold_sends",
+}
+# the keys above that hold moments by the predecessor's clock, which may differ from the successor's
 MOMENTS = frozenset(
     ("born", "judged", "quiet_until", "stamp", "read_until", "fresh_until", "started", "touched"))
 
 
-def take_state(gateway: Gateway) -> dict[str, Any]:
-    """All that a successor must know. The customers' credit goes with it and is no longer the gateway's."""
+def export_state(gateway: Gateway) -> dict[str, Any]:
+    """The state for a successor. The credit of the customers is handed over with it: it is zero here then."""
     return {
         "now": gateway.now,
-        "gateway": fields_of(gateway, GATEWAY_STATE),
-        "throttles": [take_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
-        "servers": [[address, server.backend.started_at, fields_of(server, SERVER_STATE)]
-                    for address, server in gateway.servers.items() if is_known(server, gateway)],
-        "banned": sorted(gateway.banned), "known": sorted(gateway.known), "greet": gateway.greet,
-        "usual": [[*key, value] for key, value in gateway.usual.items()], "kinds": gateway.kinds,
+        "gateway": read_fields(gateway, GATEWAY_STATE),
+        "throttles": [export_throttle(throttle, gateway.now) for throttle in gateway.throttles.values()],
+        "servers": [[address, server.backend.started_at, read_fields(server, SERVER_STATE)]
+                    for address, server in gateway.servers.items() if has_learned_state(server, gateway)],
+        "banned": sorted(gateway.suspended), "known": sorted(gateway.known_addresses),
+        "greet": gateway.first_request_due,
+        "usual": [[*key, value] for key, value in gateway.expected_times.items()],
+        "kinds": gateway.machine_slowness,
         "work_times": gateway.work_times.state(),
-        "granted": [[*key, value] for key, value in gateway.granted.items()],
+        "granted": [[*key, value] for key, value in gateway.grant_rates.items()],
     }
 
 
-def is_known(server: Server, gateway: Gateway) -> bool:
-    """True where something was learned of a backend: of thousands most have not been used."""
-    learned = server.bad or server.flight or server.calls or server.started != server.backend.started_at
-    return bool(learned) or server.limit != gateway.start_limit()
+def has_learned_state(server: Server, gateway: Gateway) -> bool:
+    """Whether a server's state differs from that of a new one; most of thousands were never used."""
+    learned = (server.failure_score or server.in_flight or server.cold_sends
+               or server.started_at != server.backend.started_at)
+    return bool(learned) or server.limit != gateway.initial_limit()
 
 
-def fields_of(source: Gateway | Server | Throttle, names: tuple[str, ...]) -> dict[str, Any]:
-    return {name: getattr(source, name) for name in names}
+def read_fields(source: Gateway | Server | Throttle, attributes: Mapping[str, str]) -> dict[str, Any]:
+    """The values of the attributes, under the keys of the transferred state."""
+    return {key: getattr(source, attribute) for key, attribute in attributes.items()}
 
 
-def take_throttle(throttle: Throttle, now: float) -> list[Any]:
-    """Held requests are charged to the level already, and are taken off the ceiling's store in advance.
+def export_throttle(throttle: Throttle, now: float) -> list[Any]:
+    """The row of a customer, whose credit is removed here.
 
-    This process sends no more than those. Until it has ended the successor's part is smaller by as much: it
-    would else be full again before they are sent.
+    Held requests are already charged to the level. They are also subtracted from the successor's part of the
+    ceiling, and this process sends no more than those. The successor's part stays smaller by as much until
+    this process has ended: otherwise it could be full again before they are sent.
     """
     throttle.refill(now)
-    state = fields_of(throttle, THROTTLE_STATE)
-    kept = throttle.held if throttle.lease is None else min(throttle.held, throttle.cap)
+    state = read_fields(throttle, THROTTLE_STATE)
+    kept = throttle.held_units if throttle.lease is None else min(throttle.held_units, throttle.ceiling_level)
     state["cap"] -= kept
     state["cap_kept"] = kept
-    throttle.level, throttle.cap = min(throttle.level, 0.0), min(throttle.cap, throttle.held)
-    throttle.uncounted = 0.0
-    return [throttle.customer, throttle.plan.name, throttle.width, state]
+    throttle.quota_level = min(throttle.quota_level, 0.0)
+    throttle.ceiling_level = min(throttle.ceiling_level, throttle.held_units)
+    throttle.unreported_units = 0.0
+    return [throttle.customer, throttle.plan.name, throttle.gateway_count, state]
 
 
 def restore_state(gateway: Gateway, state: Mapping[str, Any]) -> None:
-    """Takes over what `take_state` told; what the process before has out counts until it has ended.
+    """Applies the state of `export_state`. Attempts in flight at the predecessor count until it has ended.
 
-    `clock_ahead`: seconds by which this process's clock is ahead of the other's; older versions tell none.
+    `clock_ahead` in the state: seconds by which this process's clock is ahead of the predecessor's; older
+    versions do not send it.
     """
     ahead = float(state.get("clock_ahead", 0.0))
-    restore_fields(gateway, gateway, by_own_clock(state["gateway"], ahead), "flight")
-    for address, listed, figures in state["servers"]:
+    restore_fields(gateway, gateway, GATEWAY_STATE, to_local_clock(state["gateway"], ahead), "flight")
+    for address, started_at, values in state["servers"]:
         server = gateway.servers.get(address)
-        if server is not None and server.backend.started_at == listed:
-            restore_fields(gateway, server, by_own_clock(figures, ahead), "flight")
-    for customer, plan, width, figures in state["throttles"]:
+        if server is not None and server.backend.started_at == started_at:
+            restore_fields(gateway, server, SERVER_STATE, to_local_clock(values, ahead), "flight")
+    for customer, plan, gateway_count, values in state["throttles"]:
         if plan in gateway.plans:
-            restore_throttle(gateway, customer, plan, width, by_own_clock(figures, ahead))
-    gateway.greet = {address: due + ahead for address, due in state["greet"].items()}
-    gateway.kinds = dict(state["kinds"])
-    gateway.usual = {(klass, units): value for klass, units, value in state["usual"]}
-    gateway.work_times.restore(state.get("work_times", ()), gateway.now)  # older versions tell none
-    gateway.granted.update({(name, sure): value for name, sure, value in state["granted"]})
-
-
-def by_own_clock(figures: Mapping[str, Any], ahead: float) -> dict[str, Any]:
-    """Another process's moments as those of a clock that is so many seconds ahead of its own."""
-    moved = {name: value + ahead if name in MOMENTS and value is not None else value
-             for name, value in figures.items()}
-    if "calls" in moved:
-        moved["calls"] = [at + ahead for at in moved["calls"]]
-    if "second" in moved:  # the number of a period
-        moved["second"] += round(ahead)
-    return moved
+            restore_throttle(gateway, customer, plan, gateway_count, to_local_clock(values, ahead))
+    gateway.first_request_due = {address: due + ahead for address, due in state["greet"].items()}
+    gateway.machine_slowness = dict(state["kinds"])
+    gateway.expected_times = {
+        (request_class, units): value for request_class, units, value in state["usual"]}
+    gateway.work_times.restore(state.get("work_times", ()), gateway.now)  # older versions do not send it
+    gateway.grant_rates.update({(plan, covered): value for plan, covered, value in state["granted"]})
+
+
+def to_local_clock(values: Mapping[str, Any], ahead: float) -> dict[str, Any]:
+    """Converts the predecessor's moments to a clock that is `ahead` seconds ahead of the predecessor's."""
+    converted = {key: value + ahead if key in MOMENTS and value is not None else value
+                 for key, value in values.items()}
+    if "calls" in converted:
+        converted["calls"] = [at + ahead for at in converted["calls"]]
+    if "second" in converted:  # the number of a period of one second
+        converted["second"] += round(ahead)
+    return converted
 
 
 def restore_throttle(
-    gateway: Gateway, customer: str, plan: str, width: int, figures: Mapping[str, Any]
+    gateway: Gateway, customer: str, plan: str, gateway_count: int, values: Mapping[str, Any]
 ) -> None:
-    first_gateway = figures.get("first_gateway")  # older versions tell none
-    made = gateway.new_throttle(customer, gateway.plans[plan], width, first_gateway)
-    gateway.throttles[customer] = made
-    gateway.sweep.append(customer)
-    kept = figures.get("cap_kept", 0.0)  # older versions tell none
-    restore_fields(gateway, made, {n: v for n, v in figures.items() if n != "cap_kept"}, "open")
-    made.cap_depth -= kept
-    gateway.before.append((made, "cap_depth", -kept))
-    made.rate, made.bank = made.plan.rate * made.share, made.plan.burst * made.share
-    gateway.start_counting(made)
+    """Creates the throttle of a customer from the values of its row."""
+    first_gateway = values.get("first_gateway")  # older versions do not send it
+    throttle = gateway.new_throttle(customer, gateway.plans[plan], gateway_count, first_gateway)
+    gateway.throttles[customer] = throttle
+    gateway.idle_scan.append(customer)
+    kept = values.get("cap_kept", 0.0)  # older versions do not send it
+    values = {key: value for key, value in values.items() if key != "cap_kept"}
+    restore_fields(gateway, throttle, THROTTLE_STATE, values, "open")
+    throttle.ceiling_depth -= kept
+    gateway.predecessor_counts.append((throttle, "ceiling_depth", -kept))
+    throttle.rate, throttle.bank = throttle.plan.rate * throttle.share, throttle.plan.burst * throttle.share
+    gateway.schedule_count(throttle)
 
 
 def restore_fields(
-    gateway: Gateway, target: Gateway | Server | Throttle, figures: Mapping[str, Any], out: str
+    gateway: Gateway, target: Gateway | Server | Throttle, attributes: Mapping[str, str],
+    values: Mapping[str, Any], in_flight_key: str,
 ) -> None:
-    """`out`: the field that counts what the process before still has out."""
-    for name, value in figures.items():
-        setattr(target, name, value)
-    gateway.before.append((target, out, figures[out]))
+    """Sets attributes of `target` from transferred values.
+
+    `in_flight_key`: key of the count that includes the predecessor's attempts.
+    """
+    for key, value in values.items():
+        setattr(target, attributes.get(key, key), value)
+    gateway.predecessor_counts.append((target, attributes[in_flight_key], values[in_flight_key]))
 
 
 def end_predecessor(gateway: Gateway) -> None:
-    """The process before has ended: nothing of it is out any more."""
-    for target, name, number in gateway.before:
+    """Subtracts what the predecessor had in flight: it has ended."""
+    for target, name, number in gateway.predecessor_counts:
         setattr(target, name, getattr(target, name) - number)
-    gateway.before = []
+    gateway.predecessor_counts = []
--- a/tests/measure_list.py
+++ b/tests/measure_list.py
@@ -1,6 +1,6 @@
-"""Measures the list service with the gateway's own client, on bounded loops: python -m tests.measure_list
+"""Measures the list service with the gateway's discovery client: python -m tests.measure_list
 
-Not a test: nothing here passes or fails. The figures go to docs/directory.md with day and number of plays.
+Not a test: nothing here passes or fails. The figures go to docs/directory.md with the day and repetitions.
 """
 
 from __future__ import annotations
@@ -20,58 +20,68 @@
 from embersill.net import discovery as client
 from embersill.net.discovery import Discovery
 from embersill.net.listing import Listing, read_address
-from tests.lists import Caller, Process, process
+from tests.lists import ListClient, Process, process
 
 Call = Callable[[], Coroutine[Any, Any, Listing]]
-MANY = 200  # gateways, and backends
+FLEET_SIZE = 200  # gateways, and backends
 WRITES = 40
-PLAYS = 3
+REPETITIONS = 3
 
 
 class Watchers:
-    """As many gateways' clients as the fleet has, in this process."""
+    """The discovery clients of a fleet of gateways, in this process."""
 
-    def __init__(self, addresses: list[str], many: int = MANY) -> None:
+    def __init__(self, addresses: list[str], many: int = FLEET_SIZE) -> None:
         self.generations = [0] * many
         self.changed = asyncio.Condition()
-        self.called: list[float] = []
-        seeds = random.Random()  # another for each play, as for each start of a gateway
+        self.call_times: list[float] = []
+        seeds = random.Random()  # different in each repetition, as in each start of a gateway
         self.clients = [
             Discovery(
-                [read_address(a) for a in addresses], 5.0, self.told(n), None, seeds.getrandbits(32), many
+                [read_address(a) for a in addresses],
+                5.0,
+                self.record_generation(n),
+                None,
+                seeds.getrandbits(32),
+                many,
             )
             for n in range(many)
         ]
         for made in self.clients:
-            made.call = self.timed(made.call)  # type: ignore[method-assign]
+            made.call = self.record_call_time(made.call)  # type: ignore[method-assign]
         self.tasks = [asyncio.create_task(made.run()) for made in self.clients]
 
-    def told(self, number: int) -> Callable[[Listing], None]:
-        def tell(listing: Listing) -> None:
+    def record_generation(self, number: int) -> Callable[[Listing], None]:
+        """A callback that records the generation that a client has."""
+
+        def record(listing: Listing) -> None:
             self.generations[number] = listing.generation
 
-        return tell
+        return record
+
+    def record_call_time(self, call: Call) -> Call:
+        """A call that also records when it is made."""
 
-    def timed(self, call: Call) -> Call:
-        async def made() -> Listing:
-            self.called.append(time.monotonic())
+        async def timed_call() -> Listing:
+            self.call_times.append(time.monotonic())
             return await call()
 
-        return made
+        return timed_call
 
     async def until(self, generation: int) -> None:
+        """Waits until all clients have this generation."""
         while min(self.generations) < generation:
             await asyncio.sleep(0.0005)
 
     def end(self) -> None:
         for task, made in zip(self.tasks, self.clients, strict=True):
             task.cancel()
-            made.drop()
+            made.disconnect()
 
 
-async def fill(calls: Caller, many: int = MANY) -> None:
-    for number in range(many):
-        await calls.register(
+async def register_fleet(list_client: ListClient, count: int = FLEET_SIZE) -> None:
+    for number in range(count):
+        await list_client.register(
             f"s-{number:08x}",
             f"10.1.0.{number % 250}:5000",
             zone="room-a",
@@ -80,16 +90,16 @@
         )
 
 
-async def news(folder: pathlib.Path) -> str:
-    """From a write's answer to the last watcher told."""
-    async with process(folder) as (made, calls):
-        await fill(calls)
+async def change_delivery(folder: pathlib.Path) -> str:
+    """The time from a write's answer until the last watcher has the change."""
+    async with process(folder) as (made, list_client):
+        await register_fleet(list_client)
         watchers = Watchers([made.address])
-        await watchers.until((await calls.list())["generation"])
+        await watchers.until((await list_client.list())["generation"])
         took = []
         for number in range(WRITES):
-            await calls.until(lambda s: s["watchers"] == MANY)
-            generation = await calls.drain(f"s-{number:08x}")
+            await list_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+            generation = await list_client.drain(f"s-{number:08x}")
             answered = time.monotonic()
             await watchers.until(generation)
             took.append(time.monotonic() - answered)
@@ -100,54 +110,54 @@
 
 
 async def replacement(folder: pathlib.Path) -> str:
-    """All instances replaced, ten at a time: calls and bytes, and what whole lists would have cost."""
-    async with process(folder) as (made, calls):
-        await fill(calls)
+    """Requests and bytes while all instances are replaced, ten at a time, and the bytes with full lists."""
+    async with process(folder) as (made, list_client):
+        await register_fleet(list_client)
         watchers = Watchers([made.address])
-        await watchers.until((await calls.list())["generation"])
-        await calls.until(lambda s: s["watchers"] == MANY)
-        before = (await calls.until(lambda s: True))["figures"]
-        for first in range(0, MANY, 10):
-            await asyncio.gather(*(replace(calls, n) for n in range(first, first + 10)))
+        await watchers.until((await list_client.list())["generation"])
+        await list_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        before = (await list_client.wait_for_status(lambda s: True))["figures"]
+        for first in range(0, FLEET_SIZE, 10):
+            await asyncio.gather(*(replace(list_client, n) for n in range(first, first + 10)))
             await asyncio.sleep(0.1)
-        await watchers.until((await calls.list())["generation"])
-        await calls.until(lambda s: s["watchers"] == MANY)
-        after = (await calls.until(lambda s: True))["figures"]
-        size = len(str(await calls.list()))
+        await watchers.until((await list_client.list())["generation"])
+        await list_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        after = (await list_client.wait_for_status(lambda s: True))["figures"]
+        size = len(str(await list_client.list()))
         watchers.end()
     asked = after["watches"] - before["watches"]
-    told, changed = after["bytes told"] - before["bytes told"], after["writes"] - before["writes"]
+    sent, changed = after["bytes told"] - before["bytes told"], after["writes"] - before["writes"]
     return (
-        f"replacement: {changed} writes, {asked} watches, {told / 1e6:.1f} MB told; "
-        f"{asked * size / 1e6:.0f} MB by whole lists of {size / 1e3:.0f} kB"
+        f"replacement: {changed} writes, {asked} watches, {sent / 1e6:.1f} MB sent; "
+        f"{asked * size / 1e6:.0f} MB with full lists of {size / 1e3:.0f} kB"
     )
 
 
-async def replace(calls: Caller, number: int) -> None:
-    """The old one says that it drains and leaves, and a new one comes."""
+async def replace(list_client: ListClient, number: int) -> None:
+    """The old instance reports that it drains, a new one registers, and the old one is removed."""
     old = f"s-{number:08x}"
-    _, shown, _ = await calls.call("GET", f"/v1/instances/{old}")
-    _, shown, _ = await calls.call(
+    _, shown, _ = await list_client.call("GET", f"/v1/instances/{old}")
+    _, shown, _ = await list_client.call(
         "PUT",
         f"/v1/instances/{old}/lifecycle",
         {"process": f"p-{old}", "lifecycle": "DRAINING"},
         match=shown["version"],
     )
-    await calls.register(
-        f"s-{number + MANY:08x}",
+    await list_client.register(
+        f"s-{number + FLEET_SIZE:08x}",
         f"10.2.0.{number % 250}:5000",
         zone="room-a",
         machineType="standard-3core",
         leaseMs=600_000,
     )
-    await calls.call("DELETE", f"/v1/instances/{old}", match=shown["version"])
+    await list_client.call("DELETE", f"/v1/instances/{old}", match=shown["version"])
 
 
 async def recovery(folder: pathlib.Path) -> str:
-    """From the start of the process until it listens, with a log of 20,000 batches."""
+    """The time from the start of the process until it listens, with a log of 20,000 batches."""
     log = Log(folder, compact_at=2**40)
     for number in range(20_000):
-        id = f"s-{number % MANY:08x}"
+        id = f"s-{number % FLEET_SIZE:08x}"
         entry = Entry(
             "10.1.0.18:5000", "room-a", "standard-3core", 0, "SERVING", 1.0, number, f"p{number}", 600_000
         )
@@ -157,7 +167,7 @@
     size = log.size
     log.close()
     took = []
-    for _ in range(PLAYS):
+    for _ in range(REPETITIONS):
         began = time.monotonic()
         made = Process(folder)
         await made.start()
@@ -168,61 +178,64 @@
 
 
 async def joint_return(folder: pathlib.Path, jitter: float) -> str:
-    """The service is killed and is away for five seconds: how its readers come back."""
+    """How the watchers return after the service was killed and down for five seconds."""
     client.JITTER, before = jitter, client.JITTER
     try:
-        return f"joint return, jitter {jitter}: {await come_back(folder)}"
+        return f"joint return, jitter {jitter}: {await measure_return(folder)}"
     finally:
         client.JITTER = before
 
 
-async def come_back(folder: pathlib.Path) -> str:
+async def measure_return(folder: pathlib.Path) -> str:
     made = Process(folder)
     await made.start()
-    async with process(folder.with_name("other")) as (_, calls):
-        calls.address = made.address
-        await fill(calls)
+    async with process(folder.with_name("other")) as (_, list_client):
+        list_client.address = made.address
+        await register_fleet(list_client)
         watchers = Watchers([made.address])
-        await watchers.until((await calls.list())["generation"])
+        await watchers.until((await list_client.list())["generation"])
         await made.kill(signal.SIGKILL)
         await asyncio.sleep(5.0)
         again = Process(folder, port=made.port)
         await again.start()
-        up = time.monotonic()
-        generation = (await calls.list())["generation"]
+        restarted_at = time.monotonic()
+        generation = (await list_client.list())["generation"]
         await watchers.until(generation)
-        took = time.monotonic() - up
+        took = time.monotonic() - restarted_at
         watchers.end()
         await again.kill()
-    after = [t for t in watchers.called if t >= up]
-    most = max(sum(t <= other < t + 0.1 for other in after) for t in after)
-    return f"at most {most} calls in 0.1 s, all told after {took:.1f} s"
+    after = [t for t in watchers.call_times if t >= restarted_at]
+    peak = max(sum(t <= other < t + 0.1 for other in after) for t in after)
+    return f"at most {peak} calls in 0.1 s, all up to date after {took:.1f} s"
 
 
 async def fail_over(folder: pathlib.Path) -> str:
-    """The leader is killed: how its readers come to the follower."""
+    """How the watchers turn to the follower after the leader was killed."""
     async with (
-        process(folder) as (leader, calls),
-        process(folder.with_name("copy"), "--follow", leader.address) as (follower, copy),
+        process(folder) as (leader, list_client),
+        process(folder.with_name("copy"), "--follow", leader.address) as (
+            follower,
+            follower_client,
+        ),
     ):
-        await fill(calls)
+        await register_fleet(list_client)
         watchers = Watchers([leader.address, follower.address])
-        generation = (await calls.list())["generation"]
+        generation = (await list_client.list())["generation"]
         await watchers.until(generation)
-        await copy.until(lambda s: s["generation"] == generation)
-        watchers.called.clear()
-        gone = time.monotonic()
+        await follower_client.wait_for_status(lambda s: s["generation"] == generation)
+        watchers.call_times.clear()
+        killed_at = time.monotonic()
         await leader.kill(signal.SIGKILL)
-        await copy.until(lambda s: s["watchers"] == MANY)
-        took = time.monotonic() - gone
+        await follower_client.wait_for_status(lambda s: s["watchers"] == FLEET_SIZE)
+        took = time.monotonic() - killed_at
         watchers.end()
-    most = max(sum(t <= other < t + 0.1 for other in watchers.called) for t in watchers.called)
-    return f"fail-over: at most {most} calls in 0.1 s, all watch again after {took:.1f} s"
+    peak = max(sum(t <= other < t + 0.1 for other in watchers.call_times) for t in watchers.call_times)
+    return f"fail-over: at most {peak} calls in 0.1 s, all watch again after {took:.1f} s"
 
 
 async def main() -> None:
     measures: list[Callable[[pathlib.Path], Any]] = [
-        news,
+        change_delivery,
         replacement,
         recovery,
         lambda f: joint_return(f, 0.5),
@@ -230,7 +243,7 @@
         fail_over,
     ]
     for measure in measures:
-        for _ in range(1 if measure is recovery else PLAYS):
+        for _ in range(1 if measure is recovery else REPETITIONS):
             with tempfile.TemporaryDirectory() as folder:
                 print(await measure(pathlib.Path(folder) / "data"), flush=True)
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small scripted peers on loopback for the gateway's tests: backends, discovery and the counter."""
+"""Scripted peers of the gateway on loopback: backends, discovery and the counter."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from embersill.lab.peers import Asked, Peer, message, read_call, read_message, total_text
+from embersill.lab.peers import (
+    HttpMessage, Peer, counter_reply, read_counter_call, read_message, response_bytes,
+)
 
-SOON = 10.0  # seconds after which a test that waits for an event gives up: it passes long before
-Step = Callable[[asyncio.StreamWriter, Asked], Awaitable[None] | None]
+SOON = 10.0  # seconds after which a test that waits for an event fails; events come long before
+Step = Callable[[asyncio.StreamWriter, HttpMessage], Awaitable[None] | None]
 
 
-def serve(writer: asyncio.StreamWriter, asked: Asked) -> None:
-    writer.write(message(200, b"served " + asked[1]["x-call-id"].encode(), "Billed-Units: 2"))
+def serve(writer: asyncio.StreamWriter, asked: HttpMessage) -> None:
+    writer.write(response_bytes(200, b"served " + asked[1]["x-call-id"].encode(), "Billed-Units: 2"))
 
 
 class BackendPeer(Peer):
-    """Answers each request by `script`; with none left it serves the request's id."""
+    """Answers each request by the next step of `script`, without one with status 200 and the request's id."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.seen: list[Asked] = []
+        self.seen: list[HttpMessage] = []
         self.script: list[Step] = []
         self.arrived = asyncio.Condition()
         self.ended = 0  # connections that the gateway closed
@@ -54,13 +56,13 @@
 
 
 def entry(name: str, address: str, state: str = "SERVING", started: float = 0) -> dict[str, Any]:
-    """A backend in discovery's form."""
+    """Returns an entry of discovery's list."""
     return {"instanceId": name, "hostPort": address, "zone": "z", "machineType": "k", "cell": 0,
             "lifecycle": state, "weight": 1.0, "startedAtMs": started}
 
 
 class DiscoveryPeer(Peer):
-    """Gives the whole list, then answers a watch when `change` brings something."""
+    """Sends the full list, and then answers each watch when `change` is called or its time is up."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,15 +71,15 @@
         self.changed = asyncio.Condition()
         self.changes: list[dict[str, Any]] = []
         self.asked: list[str] = []
-        self.headers: list[str] = []  # of every answer
+        self.headers: list[str] = []  # added to every answer
         self.silent = self.endless = False
-        self.hasty = False  # watches are answered at once, with nothing
-        self.mute = 0  # so many of the next answers are not given
+        self.empty_watches = False  # watches are answered at once, without changes
+        self.answers_to_omit = 0  # number of the next requests that get no answer
 
     entry = staticmethod(entry)
 
-    def listing(self, whole: bool, entries: list[dict[str, Any]]) -> bytes:
-        return json.dumps({"generation": self.generation, "reset": whole, "instances": entries}).encode()
+    def listing(self, full: bool, entries: list[dict[str, Any]]) -> bytes:
+        return json.dumps({"generation": self.generation, "reset": full, "instances": entries}).encode()
 
     async def change(self, *entries: dict[str, Any]) -> None:
         async with self.changed:
@@ -103,14 +105,14 @@
                 while self.endless:
                     writer.write(b"400\r\n" + b" " * 1024 + b"\r\n")
                     await asyncio.sleep(0.001)
-            if self.mute:
-                self.mute -= 1
+            if self.answers_to_omit:
+                self.answers_to_omit -= 1
             elif not self.silent:
-                writer.write(message(200, body, *self.headers))
+                writer.write(response_bytes(200, body, *self.headers))
 
     async def news(self, since: int, wait: float) -> bytes:
         try:
-            async with asyncio.timeout(0.0 if self.hasty else wait):
+            async with asyncio.timeout(0.0 if self.empty_watches else wait):
                 await self.changed.wait_for(lambda: self.generation > since)
         except TimeoutError:
             return self.listing(False, [])
@@ -122,29 +124,32 @@
 
 
 class CounterPeer(Peer):
-    """Adds up names; `hold` keeps the answers back until it is set again, `say` replaces them."""
+    """Adds up the amounts of each name.
+
+    Answers are held back while `may_answer` is not set, and replaced by those in `scripted_answers`.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.sums: dict[str, float] = {}
         self.calls: list[tuple[str, float]] = []
-        self.say: list[bytes] = []
-        self.free = asyncio.Event()
-        self.free.set()
+        self.scripted_answers: list[bytes] = []
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            words = await read_call(reader)
-            name, amount = words[1], float(words[2])
+            arguments = await read_counter_call(reader)
+            name, amount = arguments[1], float(arguments[2])
             self.calls.append((name, amount))
             self.sums[name] = self.sums.get(name, 0.0) + amount
-            answer = total_text(self.sums[name])
-            await self.free.wait()
-            writer.write(self.say.pop(0) if self.say else answer)
+            answer = counter_reply(self.sums[name])
+            await self.may_answer.wait()
+            writer.write(self.scripted_answers.pop(0) if self.scripted_answers else answer)
 
 
 def settings_text(**limits: Any) -> dict[str, Any]:
-    """The settings object of tests/batch.txt, the same as the adapter's tests use."""
+    """Returns the settings object of tests/batch.txt, which the adapter's tests use as well."""
     text = (pathlib.Path(__file__).parent / "batch.txt").read_text()
     line = next(x for x in text.splitlines() if x.startswith("up\t"))
     loaded: dict[str, Any] = json.loads(line.split("\t", 2)[2])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,6 +1,6 @@
-"""What comes in the instants of a shutdown, over loopback sockets: none taken is lost, none late is sent on.
+"""Requests that arrive during a shutdown: no accepted one is lost, and no late one is sent to a backend.
 
-A crossing is forced by doing the client's part from inside the step of the shutdown that it crosses.
+The race is forced: the client sends from within the shutdown step that its request is to meet.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 import pytest
 
-from embersill.__main__ import BEFORE_KILL, KILL_AFTER, LONGEST_COUNTED, Program
-from embersill.lab.peers import Asked
-from embersill.net.clients import ACCEPTS, SETTLED
-from embersill.net.driver import LEAST_LEFT
+from embersill.__main__ import KILL_DELAY, KILL_MARGIN, MAX_COUNTED_DEADLINE, Program
+from embersill.lab.peers import HttpMessage
+from embersill.net.clients import ACCEPT_BATCH, EVICTABLE_AFTER
+from embersill.net.driver import MIN_REMAINING_TIME
 from tests.bed import READY, Bed, before, request, roomy_settings, with_bed
 from tests.peers import SOON
 
@@ -25,7 +25,7 @@
     return env
 
 
-async def silent(writer: Any, asked: Asked) -> None:
+async def silent(writer: Any, asked: HttpMessage) -> None:
     await asyncio.sleep(SOON)
 
 
@@ -33,11 +33,11 @@
     return answer[0] == 503 and float(answer[1]["retry-after"]) > 0
 
 
-@pytest.mark.parametrize("step", ["rescue_all", "settle"])
+@pytest.mark.parametrize("step", ["fail_all_unanswered", "flush_counts"])
 def test_a_request_read_after_the_last_moment_is_refused_and_not_sent_on(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("embersill.net.clients.SETTLED", 60.0)  # it is not closed as an idle one
+    monkeypatch.setattr("embersill.net.clients.EVICTABLE_AFTER", 60.0)  # keeps the idle connection open
 
     async def test(bed: Bed) -> None:
         client = await bed.client()
@@ -57,12 +57,12 @@
             assert (await client.ask(READY))[0] == 200
         bed.program.front.stopping = True
         driver, clock = bed.program.driver, bed.program.driver.clock
-        driver.ends_at = clock() + 60.0
+        driver.stop_deadline = clock() + 60.0
         assert (await first.ask(request(1)))[0] == 200
-        driver.ends_at = clock() + LEAST_LEFT / 2
+        driver.stop_deadline = clock() + MIN_REMAINING_TIME / 2
         assert refused_with_advice(await late.ask(request(2))) and await late.closed()
         assert len(bed.seen()) == 1 and not driver.pending
-        body = b"x" * 100_000  # the same for one whose body is passed on as it comes
+        body = b"x" * 100_000  # the same for a body that is streamed
         assert refused_with_advice(await last.ask(request(3, "extract", body=body)))
         assert len(bed.seen()) == 1
 
@@ -71,11 +71,11 @@
 
 @pytest.mark.parametrize("deadline", [0.4, 1.0, 30.0])
 def test_all_is_answered_before_the_kill_that_the_settings_deadlines_allow(deadline: float) -> None:
-    """With deadlines of 1 s the kill may come 1.7 s after SIGTERM; the end took up to 3.4 s."""
+    """With deadlines of 1 s SIGKILL may follow 1.7 s after SIGTERM, while a shutdown took up to 3.4 s."""
     async def test(bed: Bed) -> None:
         program = bed.program
-        kill = min(deadline, LONGEST_COUNTED) + KILL_AFTER
-        assert program.all_answered == pytest.approx(kill - BEFORE_KILL)
+        kill = min(deadline, MAX_COUNTED_DEADLINE) + KILL_DELAY
+        assert program.stop_timeout == pytest.approx(kill - KILL_MARGIN)
         bed.backends[0].script = [silent] * 100
         clients = [await bed.client() for _ in range(2)]
         clients[0].send(request(1, budget=deadline))
@@ -103,8 +103,8 @@
         gateway.throttles.clear()
         plan = gateway.plans["pro"]
         throttle = gateway.throttles["00000000000000c2"] = gateway.new_throttle("00000000000000c2", plan, 2)
-        throttle.level = 0.0
-        throttle.thin = False
+        throttle.quota_level = 0.0
+        throttle.low_rate = False
         held.send(request(2, budget=60.0, plan="pro", customer="00000000000000c2", units="0.1"))
         while not throttle.queue:
             await asyncio.sleep(0)
@@ -118,11 +118,11 @@
 
 
 def test_all_that_waits_to_be_accepted_at_the_end_is_taken_in() -> None:
-    """A listener that closes resets what waits; 64 connections were taken in and the others lost."""
+    """Closing a listener resets the connections in its queue: only 64 were accepted and the others lost."""
     async def test(bed: Bed) -> None:
         front = bed.program.front
         front.pause_accepting()
-        clients = [await bed.client() for _ in range(3 * ACCEPTS)]
+        clients = [await bed.client() for _ in range(3 * ACCEPT_BATCH)]
         for client in clients:
             client.put(READY)
         await front.stop_listening()
@@ -138,8 +138,8 @@
     async def test(bed: Bed) -> None:
         client = await bed.client()
         assert (await client.ask(request(1)))[0] == 200
-        await asyncio.sleep(2 * SETTLED)
-        before(monkeypatch, bed.program.front, "close_unasked", lambda: client.put(request(2)))
+        await asyncio.sleep(2 * EVICTABLE_AFTER)
+        before(monkeypatch, bed.program.front, "close_idle_without_unread", lambda: client.put(request(2)))
         await bed.program.stop(0.0, 2.0)
         status, headers, _ = await client.answer()
         assert status == 200 and headers["connection"] == "close" and len(bed.seen()) == 2
@@ -166,7 +166,7 @@
         client = await bed.client()
         client.send(request(1))
         stop = asyncio.create_task(program.stop(0.05, 1.0))
-        program.end()
+        program.request_stop()
         program.reload()
         assert (await client.answer())[0] == 200
         await stop
