--- a/tests/test_aggregation_routing.py
+++ b/tests/test_aggregation_routing.py
@@ -514,7 +514,7 @@
         await count("c.3", 3.0)
         assert bed.counter.calls == [("c.1", 1.0), ("c.3", 3.0)] and aggregator.calls == [("c.2", 2.0)]
         await asyncio.sleep(0.2)
-        assert router.list_task.done() and not aggregator.open
+        assert router.list_task.done() and not aggregator.writers
         await directory.stop()
         await aggregator.stop()
 
