--- a/embersill/lab/scale/command.py
+++ b/embersill/lab/scale/command.py
@@ -69,7 +69,7 @@
 
 
 def read_settings(options: argparse.Namespace) -> RunSettings:
-    """The settings of the run; raises BadScaleUse or NoAggregators for invalid arguments."""
+    """The settings of the run; raises BadScaleUse or AggregatorsUnavailable for invalid arguments."""
     small = options.small
     plays = (SMALL_PLAYS if small else PLAYS) if options.plays is None else options.plays
     seconds = (SMALL_SECONDS if small else SECONDS) if options.seconds is None else options.seconds
--- a/tests/test_framing_answers.py
+++ b/tests/test_framing_answers.py
@@ -601,7 +601,7 @@
 def test_a_truncated_slow_answer_is_visible_to_the_client(
     start_index: int, end: End, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # An answer of unknown length is streamed after PASS_AFTER even if it is short.
+    # An answer of unknown length is streamed after STREAM_AFTER even if it is short.
     monkeypatch.setattr("embersill.net.backends.STREAM_AFTER", 0.01)
     numbers = range(start_index, min(start_index + ANSWERS_PER_TEST, len(VALID_ANSWERS)))
 
